--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -9,7 +9,7 @@
         logging::{LineBudget, json_line},
         model::{AdmissionLevel, Class, RegionKey, RegionSet, ServiceKey, WorkspaceKey, ZoneKey},
         retry::{ChainBudget, RetryPolicy},
-        routing::{AttemptResult, Distance, RoutePolicy, TargetInfo, Wanted, ZoneRouter},
+        routing::{AttemptResult, Distance, RoutePolicy, RouteRequest, TargetInfo, ZoneRouter},
     },
     rand::{SeedableRng, rngs::StdRng},
     std::{collections::VecDeque, hint::black_box, time::Instant},
@@ -148,8 +148,8 @@
     for index in 0..ROUND_COUNT {
         let call = budget.open(3);
         budget.first_attempt(service, u64::from(index) * 100);
-        let loan = budget.lend(call);
-        budget.give_back(loan.key, loan.allotment);
+        let loan = budget.allot_to_child(call);
+        budget.return_unspent(loan.key, loan.allotment);
         black_box(budget.close(call));
     }
     per_round(started, ROUND_COUNT)
@@ -175,7 +175,7 @@
         };
         router.add(info, 0);
     }
-    let wanted = Wanted {
+    let wanted = RouteRequest {
         service,
         class: Class::Standard,
         regions: RegionSet::ANY,
--- a/src/admission/downstream.rs
+++ b/src/admission/downstream.rs
@@ -163,7 +163,7 @@
             true => self.shares[ranked.index()],
             false => 1.0,
         };
-        draw < share || !self.relief.is_felt(class, now_us)
+        draw < share || !self.relief.would_reduce_downstream_load(class, now_us)
     }
 
     /// Share of this class that is admitted.
--- a/src/admission/relief.rs
+++ b/src/admission/relief.rs
@@ -67,7 +67,7 @@
 
     /// Whether the services below get emptier when this class is held back.
     #[must_use]
-    pub fn is_felt(&self, class: Class, now_us: u64) -> bool {
+    pub fn would_reduce_downstream_load(&self, class: Class, now_us: u64) -> bool {
         let whole: f64 = self.kinds.iter().map(|kind| kind.work(now_us)).sum();
         let part = self.kinds[class.index()].work(now_us);
         // Of a kind that has not run yet nothing is known.
--- a/src/daemon/hosted/relaying.rs
+++ b/src/daemon/hosted/relaying.rs
@@ -4,13 +4,13 @@
 use {
     crate::{
         daemon::{DaemonError, neighbours::RpcNeighbours},
-        documents::{Document, DocumentKind, DocumentStore, FollowerParts, Hint, LookBounds},
+        documents::{Document, DocumentKind, DocumentStore, FollowerParts, Hint, PollBounds},
         freshness::Snapshot,
         guard::Handover,
         membership::{Gossip, OwnState},
         model::{Names, WorkspaceKey},
         objects::{FollowParts, FollowedNames, ObjectOrigin, ObjectStore, follow},
-        quota::{BorrowAnswer, BorrowAsk, Estate, LeaseAnswer, LeaseAsk},
+        quota::{BorrowRequest, BorrowResponse, LeaseRequest, LeaseResponse, PoolHandover},
         rpc::{self, DocumentSource, Handlers, RpcConfig},
         settings::Settings,
         timer::Timer,
@@ -71,7 +71,7 @@
         zone: settings.zone.clone(),
         store: documents.clone(),
         origin: ObjectOrigin::new(parts.store, parts.followed, documents.clone(), WATCH_MS),
-        bounds: LookBounds::PAID.with_start_delay_ms(parts.start_delay_ms),
+        bounds: PollBounds::PAID.with_start_delay_ms(parts.start_delay_ms),
         neighbours: RpcNeighbours::new(client, gossip.view.clone()),
         view: gossip.view.clone(),
         probes: gossip.probes.clone(),
@@ -108,15 +108,15 @@
         DocumentSource::document(&self.documents, kind, above_version)
     }
 
-    fn lease(&self, _ask: LeaseAsk) -> LeaseAnswer {
-        LeaseAnswer::default()
+    fn lease(&self, _ask: LeaseRequest) -> LeaseResponse {
+        LeaseResponse::default()
     }
 
-    async fn borrow(&self, _ask: BorrowAsk) -> BorrowAnswer {
-        BorrowAnswer::default()
+    async fn borrow(&self, _ask: BorrowRequest) -> BorrowResponse {
+        BorrowResponse::default()
     }
 
-    fn take_over(&self, _workspace: WorkspaceKey) -> Option<Estate> {
+    fn take_over(&self, _workspace: WorkspaceKey) -> Option<PoolHandover> {
         None
     }
 
--- a/src/daemon/neighbours.rs
+++ b/src/daemon/neighbours.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        documents::{Document, DocumentKind, DocumentStore, Neighbours},
+        documents::{Document, DocumentKind, DocumentStore, Peers},
         membership::{Member, View},
         rpc::{DocumentSource, RpcClient},
     },
@@ -24,7 +24,7 @@
     }
 }
 
-impl Neighbours for RpcNeighbours {
+impl Peers for RpcNeighbours {
     async fn fetch(
         &self,
         node_id: &str,
--- a/src/dialect/asked.rs
+++ b/src/dialect/asked.rs
@@ -11,7 +11,7 @@
 
 /// What a caller asks for.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct CallerRequest {
     /// Identity of the request.
     pub request_id: RequestId,
     /// Who asks; `None` on routes that are open to everyone.
--- a/src/dialect/mod.rs
+++ b/src/dialect/mod.rs
@@ -9,9 +9,9 @@
 mod target;
 
 pub use {
-    asked::{Asked, Tenant},
+    asked::{CallerRequest, Tenant},
     native::Native,
-    target::{Heartbeat, NoticeError, TargetCall, TargetNotice, TargetState, TargetWord},
+    target::{Heartbeat, NoticeError, TargetCall, TargetNotice, TargetSignal, TargetState},
 };
 
 use {
@@ -39,7 +39,7 @@
     fn request_id(&self, headers: &HeaderMap) -> Option<RequestId>;
 
     /// Reads what a caller asks for.
-    fn read_request(&self, running: &Running, head: &Parts) -> Result<Asked, Rejection>;
+    fn read_request(&self, running: &Running, head: &Parts) -> Result<CallerRequest, Rejection>;
 
     /// Turns a caller's headers into those for the target: removes the key,
     /// what only nodes may set and what concerns one connection; adds who
@@ -62,7 +62,7 @@
         method: &Method,
         call: &TargetCall<'_>,
         response: &Response<Incoming>,
-    ) -> TargetWord;
+    ) -> TargetSignal;
 
     /// Reads what the own target tells about itself.
     fn read_notice(
--- a/src/dialect/native.rs
+++ b/src/dialect/native.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Asked, Dialect, Heartbeat, NoticeError, TargetCall, TargetNotice, TargetState, TargetWord,
-        Tenant,
+        CallerRequest, Dialect, Heartbeat, NoticeError, TargetCall, TargetNotice, TargetSignal,
+        TargetState, Tenant,
     },
     crate::{
         conf::{Running, WorkspaceRules},
@@ -64,7 +64,7 @@
         None
     }
 
-    fn read_request(&self, running: &Running, head: &Parts) -> Result<Asked, Rejection> {
+    fn read_request(&self, running: &Running, head: &Parts) -> Result<CallerRequest, Rejection> {
         let tenant = tenant_of(running, &head.headers)?;
         if head.method == Method::CONNECT {
             let refusal = Refusal::not_run(Reason::BadRequest);
@@ -81,7 +81,7 @@
             .map(parse_deadline_ms)
             .transpose()?;
         let services = &running.services;
-        Ok(Asked {
+        Ok(CallerRequest {
             request_id: RequestId::random(),
             regions: tenant.rules.regions,
             tenant: Some(tenant),
@@ -120,14 +120,14 @@
         method: &Method,
         call: &TargetCall<'_>,
         response: &Response<Incoming>,
-    ) -> TargetWord {
+    ) -> TargetSignal {
         let is_own = response.headers().get(CALL) == Some(&handle_value(call));
         let refusal = if is_own && has_end(method, response) {
             shed_refusal(response)
         } else {
             Some(Refusal::unknown(Reason::BadAnswer))
         };
-        TargetWord {
+        TargetSignal {
             refusal,
             is_shed: is_shed(response.status()),
             idle_limit: None,
--- a/src/dialect/target.rs
+++ b/src/dialect/target.rs
@@ -20,7 +20,7 @@
 
 /// What the head of a target's answer means.
 #[derives::value]
-pub struct TargetWord {
+pub struct TargetSignal {
     /// Set when the answer tells that the target did not run the request, or
     /// cannot be believed to belong to it.
     pub refusal: Option<Refusal>,
--- a/src/documents/follower.rs
+++ b/src/documents/follower.rs
@@ -7,7 +7,7 @@
 
 use {
     super::{
-        Document, DocumentKind, DocumentOrigin, DocumentStore, KIND_COUNT, LookBounds, Versions,
+        Document, DocumentKind, DocumentOrigin, DocumentStore, KIND_COUNT, PollBounds, Versions,
         look::{LookTask, WatchTask},
         reach::OriginReach,
     },
@@ -35,7 +35,7 @@
 const NOT_READY_REPORT_MS: u64 = 3_000;
 
 /// Calls to other members.
-pub trait Neighbours: Clone + Send + Sync + 'static {
+pub trait Peers: Clone + Send + Sync + 'static {
     /// Asks a member for a document above this version.
     fn fetch(
         &self,
@@ -66,7 +66,7 @@
     /// Where operators write them.
     pub origin: O,
     /// When to look there.
-    pub bounds: LookBounds,
+    pub bounds: PollBounds,
     /// Calls to other members.
     pub neighbours: N,
     /// Members.
@@ -90,7 +90,7 @@
     pub(super) zone: String,
     pub(super) store: DocumentStore,
     pub(super) origin: O,
-    pub(super) bounds: LookBounds,
+    pub(super) bounds: PollBounds,
     pub(super) view: watch::Receiver<Arc<View>>,
     pub(super) timer: Timer,
     pub(super) seen: Arc<watch::Sender<Option<u64>>>,
@@ -177,7 +177,7 @@
 }
 
 /// Starts following.
-pub fn spawn_follower<O: DocumentOrigin, N: Neighbours>(parts: FollowerParts<O, N>) -> Followed {
+pub fn spawn_follower<O: DocumentOrigin, N: Peers>(parts: FollowerParts<O, N>) -> Followed {
     let (seen, receiver) = watch::channel(None);
     let reach = Arc::new(OriginReach::new());
     let followed = Followed {
@@ -278,7 +278,7 @@
     }
 }
 
-async fn fetch_wanted<O: DocumentOrigin, N: Neighbours>(
+async fn fetch_wanted<O: DocumentOrigin, N: Peers>(
     shared: Shared<O>,
     neighbours: N,
     kind: DocumentKind,
--- a/src/documents/look.rs
+++ b/src/documents/look.rs
@@ -2,7 +2,7 @@
 //! versions.
 
 use {
-    super::{DocumentKind, DocumentOrigin, LookRole, follower::Shared},
+    super::{DocumentKind, DocumentOrigin, PollRole, follower::Shared},
     crate::{
         backoff::Backoff,
         membership::{MemberProbes, relays},
@@ -58,7 +58,7 @@
     }
 
     fn is_due(&self) -> bool {
-        let role = LookRole {
+        let role = PollRole {
             rank: self.shared.rank(),
             member_count: self.shared.zone_member_count(),
             has_relays: self.shared.has_relays(),
--- a/src/documents/mod.rs
+++ b/src/documents/mod.rs
@@ -8,9 +8,9 @@
 mod store;
 
 pub use {
-    follower::{Followed, FollowerParts, Hint, Neighbours, spawn_follower},
+    follower::{Followed, FollowerParts, Hint, Peers, spawn_follower},
     origin::DocumentOrigin,
-    schedule::{LookBounds, LookRole, OtherLooks},
+    schedule::{PeerPolls, PollBounds, PollRole},
     store::DocumentStore,
 };
 
--- a/src/documents/schedule.rs
+++ b/src/documents/schedule.rs
@@ -5,7 +5,7 @@
 /// Ages are those of the newest confirmed look, own or told.
 #[derives::value]
 #[derive(Copy)]
-pub struct LookBounds {
+pub struct PollBounds {
     /// Time between two decisions, in milliseconds.
     pub period_ms: u64,
     /// Longest wait before the first look, in milliseconds; drawn at random.
@@ -17,7 +17,7 @@
     /// Age at which other members ask the relays, in milliseconds.
     pub ask_relays_age_ms: Option<u64>,
     /// When other members look themselves.
-    pub others: Option<OtherLooks>,
+    pub others: Option<PeerPolls>,
     /// First pause after a failed call, in milliseconds.
     pub first_backoff_ms: u64,
     /// Longest pause after failed calls, in milliseconds.
@@ -29,7 +29,7 @@
 /// The origin may turn away both relays of a zone and serve the others.
 #[derives::value]
 #[derive(Copy)]
-pub struct OtherLooks {
+pub struct PeerPolls {
     /// Age from which they look, in milliseconds.
     pub age_ms: u64,
     /// Looks of all of them together, per second.
@@ -44,7 +44,7 @@
 /// A member's part in the looks of its availability zone.
 #[derives::value]
 #[derive(Copy)]
-pub struct LookRole {
+pub struct PollRole {
     /// Rank among the relays, 0 first; `None` for other members.
     pub rank: Option<usize>,
     /// Members of the zone.
@@ -53,7 +53,7 @@
     pub has_relays: bool,
 }
 
-impl LookBounds {
+impl PollBounds {
     /// For an origin whose calls are paid for, and confirmations that hold for
     /// four seconds and more.
     pub const PAID: Self = Self {
@@ -62,7 +62,7 @@
         first_relay_age_ms: 1500,
         second_relay_age_ms: 2000,
         ask_relays_age_ms: Some(2400),
-        others: Some(OtherLooks {
+        others: Some(PeerPolls {
             age_ms: 3000,
             rate_per_s: 2.0,
             alone_age_ms: 700,
@@ -86,7 +86,7 @@
     /// `age_ms` is `None` while there is no confirmed look. `draw` lies in 0..1
     /// and decides among members that are no relays.
     #[must_use]
-    pub fn is_due(&self, role: LookRole, age_ms: Option<u64>, draw: f64) -> bool {
+    pub fn is_due(&self, role: PollRole, age_ms: Option<u64>, draw: f64) -> bool {
         let is_older_than = |limit_ms| age_ms.is_none_or(|age_ms| age_ms >= limit_ms);
         match role.rank {
             Some(0) => is_older_than(self.first_relay_age_ms),
--- a/src/egress/attempts.rs
+++ b/src/egress/attempts.rs
@@ -9,11 +9,11 @@
         keys::KeyDigest,
         model::{AdmissionLevel, Class, Outcome, Reason, Refusal, RequestContext, RequestId},
         model::{RegionSet, ServiceKey, WorkspaceKey, begins_chain},
-        node::{Node, Place, Policies},
-        peer::{self, Attempt, HopEnd, PeerLink},
+        node::{Node, Policies, TargetLocation},
+        peer::{self, Attempt, HopResult, PeerLink},
         retry::CallKey,
         retry::RetryPolicy,
-        routing::{AttemptResult, RoutePolicy, TargetKey, Wanted},
+        routing::{AttemptResult, RoutePolicy, RouteRequest, TargetKey},
         target::serve_local,
     },
     std::{sync::Arc, time::Duration},
@@ -196,19 +196,19 @@
     // Calls of a target that carry no handle belong to no chain: a node further
     // down could not spend what it is lent, and with an answer that is lost the
     // allotment would be lost as well.
-    let loan = (!P::Dialect::CALLS_LIKE_CALLERS).then(|| node.retries().lend(call.retry));
+    let loan = (!P::Dialect::CALLS_LIKE_CALLERS).then(|| node.retries().allot_to_child(call.retry));
     let lent = loan.map_or(0, |loan| loan.allotment);
     let context = context_of(call, remaining_us, lent);
     let end = match place {
-        Place::Own => {
+        TargetLocation::Own => {
             let (result, unspent) = serve_local(node, &context, outbound).await;
-            HopEnd {
+            HopResult {
                 result,
                 unspent,
                 level: Some(node.level(call.class)),
             }
         }
-        Place::Peer(link) => {
+        TargetLocation::Peer(link) => {
             let attempt = Attempt {
                 context: &context,
                 is_guarded: false,
@@ -221,7 +221,7 @@
         }
     };
     if let Some(loan) = loan {
-        node.retries().give_back(loan.key, end.unspent);
+        node.retries().return_unspent(loan.key, end.unspent);
     }
     if let Some(level) = end
         .level
@@ -233,8 +233,8 @@
     end.result
 }
 
-const fn wanted(call: &Call) -> Wanted {
-    Wanted {
+const fn wanted(call: &Call) -> RouteRequest {
+    RouteRequest {
         service: call.service,
         class: call.class,
         regions: call.regions,
@@ -242,11 +242,11 @@
 }
 
 /// Sends to another node, at most until this side's own deadline.
-pub async fn send<P: Policies>(node: &Node<P>, link: &PeerLink, attempt: Attempt<'_>) -> HopEnd {
+pub async fn send<P: Policies>(node: &Node<P>, link: &PeerLink, attempt: Attempt<'_>) -> HopResult {
     let sending = peer::send(link, attempt, &node.auth, &node.names);
     match tokio::time::timeout(attempt.limit, sending).await {
         Ok(end) => end,
-        Err(_) => HopEnd::failed(Refusal::unknown(Reason::DeadlineExceeded), 0),
+        Err(_) => HopResult::failed(Refusal::unknown(Reason::DeadlineExceeded), 0),
     }
 }
 
@@ -257,11 +257,11 @@
     call: &Call,
     link: &PeerLink,
     attempt: Attempt<'_>,
-) -> HopEnd {
+) -> HopResult {
     tokio::select! {
         end = send(node, link, attempt) => end,
-        () = link.falls_silent(), if call.repeatable => {
-            HopEnd::failed(Refusal::unknown(Reason::ConnectionLost), 0)
+        () = link.wait_until_silent(), if call.repeatable => {
+            HopResult::failed(Refusal::unknown(Reason::ConnectionLost), 0)
         }
     }
 }
--- a/src/egress/child.rs
+++ b/src/egress/child.rs
@@ -12,7 +12,7 @@
         },
         model::{MAX_DEPTH, Reason, Refusal},
         node::{InFlightCall, Node, Policies, dispatch},
-        retry::{CallKey, LoanKey, RetryPolicy},
+        retry::{CallKey, ChildAllotmentKey, RetryPolicy},
     },
     hyper::{HeaderMap, Request, Response, body::Incoming, http::request::Parts},
     std::sync::Arc,
@@ -148,14 +148,14 @@
 /// Retry allotment that a child call holds on this node while it lives.
 struct Share<P: Policies> {
     node: Arc<Node<P>>,
-    loan: LoanKey,
+    loan: ChildAllotmentKey,
     own: CallKey,
 }
 
 impl<P: Policies> Share<P> {
     fn new(node: &Arc<Node<P>>, parent: CallKey) -> Self {
         let mut retries = node.retries();
-        let loan = retries.lend(parent);
+        let loan = retries.allot_to_child(parent);
         let own = retries.open(loan.allotment);
         drop(retries);
         Self {
@@ -170,6 +170,6 @@
     fn drop(&mut self) {
         let mut retries = self.node.retries();
         let unspent = retries.close(self.own);
-        retries.give_back(self.loan, unspent);
+        retries.return_unspent(self.loan, unspent);
     }
 }
--- a/src/ingress/serve.rs
+++ b/src/ingress/serve.rs
@@ -4,7 +4,7 @@
     super::{Rejection, check_size, discard_body, read_body},
     crate::{
         control::RequestLabels,
-        dialect::{Asked, Dialect, Tenant},
+        dialect::{CallerRequest, Dialect, Tenant},
         egress::Call,
         event,
         events::Event,
@@ -208,7 +208,7 @@
     if asked.tenant.is_some()
         && matches!(&result, Err(refusal) if refusal.outcome == Outcome::NotRun)
     {
-        node.quota.put_back(workspace, asked.class);
+        node.quota.refund(workspace, asked.class);
     }
     if is_call {
         note_call(node, &result);
@@ -230,7 +230,7 @@
 /// Workspace and key that the request runs for, within the workspace's rate.
 async fn admit_tenant<P: Policies>(
     node: &Node<P>,
-    asked: &Asked,
+    asked: &CallerRequest,
 ) -> Result<(WorkspaceKey, KeyDigest), Rejection> {
     let Some(tenant) = &asked.tenant else {
         return Ok((node.names.workspace(ANONYMOUS), KeyDigest::NONE));
--- a/src/keys/exchange.rs
+++ b/src/keys/exchange.rs
@@ -18,7 +18,7 @@
     mut from_gossip: broadcast::Receiver<Vec<KeyDigest>>,
     shutdown: CancellationToken,
 ) {
-    let mut learnt = revocations.subscribe_learnt();
+    let mut learnt = revocations.subscribe_new();
     tokio::spawn(async move {
         loop {
             tokio::select! {
--- a/src/keys/revocations.rs
+++ b/src/keys/revocations.rs
@@ -76,7 +76,7 @@
 
     /// Follows single revocations as they are learnt.
     #[must_use]
-    pub fn subscribe_learnt(&self) -> broadcast::Receiver<KeyDigest> {
+    pub fn subscribe_new(&self) -> broadcast::Receiver<KeyDigest> {
         self.learnt.subscribe()
     }
 }
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -85,7 +85,7 @@
 
 /// What is left of a call at its end.
 #[derive(Debug, Clone, Copy)]
-pub struct CallRest {
+pub struct CallRemainder {
     /// Retry allotment that goes back to the parent.
     pub unspent: u8,
     /// A child failed for good.
@@ -113,20 +113,20 @@
 
     /// Ends the call and cancels its children.
     #[must_use]
-    pub fn end(mut self) -> CallRest {
+    pub fn end(mut self) -> CallRemainder {
         self.finish()
     }
 
-    fn finish(&mut self) -> CallRest {
+    fn finish(&mut self) -> CallRemainder {
         self.over = true;
         let Some(call) = self.node.calls().calls.remove(&self.handle) else {
-            return CallRest {
+            return CallRemainder {
                 unspent: 0,
                 is_exhausted: false,
             };
         };
         call.over.cancel();
-        CallRest {
+        CallRemainder {
             unspent: self.node.retries().close(call.retry),
             is_exhausted: call.is_exhausted,
         }
--- a/src/node/guarded.rs
+++ b/src/node/guarded.rs
@@ -10,7 +10,7 @@
         guard::{Begin, Finish, GuardKey, KeyedRequest, StoredAnswer},
         ingress::check_idempotency_key,
         model::{Names, Outcome, Reason, Refusal, RequestContext, ServiceKey, WorkspaceKey},
-        peer::{Attempt, HopEnd},
+        peer::{Attempt, HopResult},
         retry::RetryPolicy,
     },
     hyper::{
@@ -60,12 +60,12 @@
     let keyed = keyed_request(&node.names, (call.workspace, call.service), text, outbound);
     let home = node.guard.home(keyed.key)?;
     let remaining_us = call.deadline_us.saturating_sub(node.timer.now_us());
-    let loan = node.retries().lend(call.retry);
+    let loan = node.retries().allot_to_child(call.retry);
     let context = context_of(call, remaining_us, loan.allotment);
     let end = match home {
         Home::Own => {
             let (result, unspent) = execute(node, &context, outbound.clone(), text).await;
-            HopEnd {
+            HopResult {
                 result,
                 unspent,
                 level: None,
@@ -73,7 +73,7 @@
         }
         Home::Node(home) => send_home(node, &home, &context, outbound, remaining_us).await,
     };
-    node.retries().give_back(loan.key, end.unspent);
+    node.retries().return_unspent(loan.key, end.unspent);
     end.result
 }
 
@@ -98,11 +98,11 @@
     context: &RequestContext,
     outbound: &Outbound,
     remaining_us: u64,
-) -> HopEnd {
+) -> HopResult {
     let no_home = Refusal::not_run(Reason::NoHome).with_retry_after_ms(NO_HOME_RETRY_MS);
     let link = node.routes().link(home);
     let Some(link) = link else {
-        return HopEnd::failed(no_home, context.retry_allotment);
+        return HopResult::failed(no_home, context.retry_allotment);
     };
     let attempt = Attempt {
         context,
@@ -116,7 +116,7 @@
     // Without a word from the home, nothing was sent: it could not be reached.
     let is_unsent = matches!(&end.result, Err(refusal) if refusal.outcome == Outcome::NotRun);
     if is_unsent && end.level.is_none() {
-        return HopEnd::failed(no_home, end.unspent);
+        return HopResult::failed(no_home, end.unspent);
     }
     end
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -15,7 +15,7 @@
     evacuation::follow_evacuations,
     guarded::{Home, KeyGuard, dispatch, serve_at_home},
     loop_lag::LoopLag,
-    route_table::{Place, RouteTable},
+    route_table::{RouteTable, TargetLocation},
     start::{StartError, start},
     systems::{follow_answers, follow_members, run_ticks},
 };
@@ -32,7 +32,7 @@
         freshness::{Freshness, Snapshot},
         membership::{MemberProbes, OwnState, View},
         model::{AdmissionLevel, Class, Names, RegionKey, RegionSet, WorkspaceKey},
-        peer::{Arrivals, FleetAuth},
+        peer::{FleetAuth, SeenAttempts},
         quota::QuotaGate,
         retry::{RetryPolicy, ShareLimits},
         routing::RoutePolicy,
@@ -151,7 +151,7 @@
     /// Fleet secret at work.
     pub auth: FleetAuth,
     /// Attempts that came from other nodes.
-    pub arrivals: Arrivals,
+    pub arrivals: SeenAttempts,
     /// Connections to the own target.
     pub target: Arc<TargetPool>,
     /// Open connections of callers.
@@ -193,7 +193,7 @@
         });
         Arc::new(Self {
             auth,
-            arrivals: Arrivals::new(),
+            arrivals: SeenAttempts::new(),
             target: TargetPool::new(inputs.settings.ip),
             region: inputs.names.region(&inputs.settings.region),
             settings: inputs.settings,
--- a/src/node/route_table.rs
+++ b/src/node/route_table.rs
@@ -8,7 +8,7 @@
         membership::{Announcement, Member, MemberState, OwnState, View},
         model::{Names, Refusal, RegionKey, ServiceKey, ZoneKey},
         peer::PeerLink,
-        routing::{Distance, RoutePolicy, TargetInfo, TargetKey, Wanted},
+        routing::{Distance, RoutePolicy, RouteRequest, TargetInfo, TargetKey},
         settings::Settings,
     },
     std::{
@@ -20,7 +20,7 @@
 
 /// Way to a target.
 #[derive(Debug, Clone)]
-pub enum Place {
+pub enum TargetLocation {
     /// Beside this node.
     Own,
     /// Beside another node.
@@ -29,7 +29,7 @@
 
 /// What a node knows of where work may go.
 #[derive(Debug, Clone, Copy)]
-pub struct Known<'a> {
+pub struct FleetState<'a> {
     /// All members.
     pub view: &'a View,
     /// What this node tells of itself.
@@ -50,7 +50,7 @@
     target: TargetKey,
     info: TargetInfo,
     identity: Identity,
-    place: Place,
+    place: TargetLocation,
 }
 
 /// The routing policy with the nodes of its targets.
@@ -88,14 +88,14 @@
     /// Picks a target and the way to it.
     pub fn pick(
         &mut self,
-        wanted: Wanted,
+        wanted: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
-    ) -> Result<(TargetKey, Place), Refusal> {
+    ) -> Result<(TargetKey, TargetLocation), Refusal> {
         let target = self.policy.pick(wanted, tried, now_us, &mut rand::rng())?;
         let row = self.nodes.get(&target).and_then(|node| self.rows.get(node));
         let place = row.map(|row| row.place.clone());
-        if let Some(Place::Peer(link)) = &place {
+        if let Some(TargetLocation::Peer(link)) = &place {
             link.set_silent(false);
         }
         place
@@ -129,7 +129,7 @@
         let Some(row) = self.rows.get(node) else {
             return;
         };
-        if self.policy.heard(row.target, now_us) {
+        if self.policy.record_response(row.target, now_us) {
             event!(Event::NodeHeard, "node={node}");
         }
     }
@@ -137,21 +137,21 @@
     /// Regular look at nodes that do not answer; returns those to ask whether
     /// they live.
     pub fn unheard(&mut self, now_us: u64) -> Vec<String> {
-        let unheard = self.policy.unheard(now_us);
+        let unheard = self.policy.check_silence(now_us);
         let mut asked = Vec::new();
-        for target in unheard.asked {
+        for target in unheard.to_probe {
             let node = self.node_of(target).to_owned();
             match self.rows.get(&node).map(|row| &row.place) {
-                Some(Place::Peer(_)) => asked.push(node),
-                Some(Place::Own) | None => {
-                    self.policy.heard(target, now_us);
+                Some(TargetLocation::Peer(_)) => asked.push(node),
+                Some(TargetLocation::Own) | None => {
+                    self.policy.record_response(target, now_us);
                 }
             }
         }
-        for target in unheard.silent {
+        for target in unheard.newly_silent {
             let node = self.node_of(target).to_owned();
             event!(Event::NodeSilent, "node={node}");
-            if let Some(Place::Peer(link)) = self.rows.get(&node).map(|row| &row.place) {
+            if let Some(TargetLocation::Peer(link)) = self.rows.get(&node).map(|row| &row.place) {
                 link.set_silent(true);
             }
         }
@@ -173,13 +173,13 @@
     /// Takes over what membership knows; targets of evacuated zones get nothing.
     pub fn sync(
         &mut self,
-        known: Known<'_>,
+        known: FleetState<'_>,
         settings: &Settings,
         names: &Names,
         starts_slowly: bool,
         now_us: u64,
     ) {
-        let Known {
+        let FleetState {
             view,
             own,
             evacuations,
@@ -262,8 +262,8 @@
             self.remove(node);
         }
         let place = match self.links.get(node) {
-            Some((_, link)) => Place::Peer(Arc::clone(link)),
-            None => Place::Own,
+            Some((_, link)) => TargetLocation::Peer(Arc::clone(link)),
+            None => TargetLocation::Own,
         };
         let target = self.policy.add(info, now_us);
         self.nodes.insert(target, node.to_owned());
--- a/src/node/systems.rs
+++ b/src/node/systems.rs
@@ -1,7 +1,7 @@
 //! Systems that run over the tables of a node.
 
 use {
-    super::{NOT_CUT_OFF, Node, Policies, route_table::Known},
+    super::{NOT_CUT_OFF, Node, Policies, route_table::FleetState},
     crate::{
         dialect::Dialect,
         event,
@@ -57,7 +57,7 @@
         let own_state = own.borrow_and_update().clone();
         let evacuated = Arc::clone(&evacuations.borrow_and_update());
         node.routes().sync(
-            Known {
+            FleetState {
                 view: &members,
                 own: &own_state,
                 evacuations: &evacuated,
--- a/src/objects/follower.rs
+++ b/src/objects/follower.rs
@@ -3,9 +3,7 @@
 use {
     super::{ObjectOrigin, ObjectStore},
     crate::{
-        documents::{
-            Document, DocumentKind, DocumentStore, FollowerParts, Neighbours, spawn_follower,
-        },
+        documents::{Document, DocumentKind, DocumentStore, FollowerParts, Peers, spawn_follower},
         freshness::{Freshness, Snapshot},
         membership::OwnState,
     },
@@ -59,7 +57,7 @@
 pub fn follow<S, N, A>(parts: FollowParts<S, N>, apply: A) -> watch::Receiver<Snapshot>
 where
     S: ObjectStore,
-    N: Neighbours,
+    N: Peers,
     A: FnMut(&Document) + Send + 'static,
 {
     let (freshness_sender, freshness) = watch::channel(Snapshot::cut_off());
--- a/src/peer/arrivals.rs
+++ b/src/peer/arrivals.rs
@@ -16,7 +16,7 @@
 /// would show two orders where the caller sent one; the second arrival of an
 /// attempt id is therefore refused.
 #[derive(Debug, Default)]
-pub struct Arrivals {
+pub struct SeenAttempts {
     generations: Mutex<Generations>,
 }
 
@@ -27,7 +27,7 @@
     turned_ms: u64,
 }
 
-impl Arrivals {
+impl SeenAttempts {
     /// Nothing has arrived.
     #[must_use]
     pub fn new() -> Self {
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -20,7 +20,7 @@
 
 /// How an attempt ended at its hop.
 #[derive(Debug)]
-pub struct HopEnd {
+pub struct HopResult {
     /// The target's answer or why there is none.
     pub result: Result<Answer, Refusal>,
     /// Retry allotment that came back.
@@ -29,7 +29,7 @@
     pub level: Option<AdmissionLevel>,
 }
 
-impl HopEnd {
+impl HopResult {
     /// An end without a word from the other node.
     #[must_use]
     pub const fn failed(refusal: Refusal, unspent: u8) -> Self {
@@ -64,23 +64,23 @@
     attempt: Attempt<'_>,
     auth: &FleetAuth,
     names: &Names,
-) -> HopEnd {
+) -> HopResult {
     let context = attempt.context;
     let unsent = Refusal::not_run(Reason::ConnectionLost);
     let Ok(mut sender) = link.sender(context.class).await else {
-        return HopEnd::failed(unsent, context.retry_allotment);
+        return HopResult::failed(unsent, context.retry_allotment);
     };
     let attempt_id = rand::random();
     let Some(request) = request_of(link, attempt, attempt_id, auth, names) else {
         let refusal = Refusal::not_run(Reason::BadRequest);
-        return HopEnd::failed(refusal, context.retry_allotment);
+        return HopResult::failed(refusal, context.retry_allotment);
     };
     let response = match try_send(&mut sender, request).await {
         Ok(response) => response,
-        Err(Unanswered::Unsent) => return HopEnd::failed(unsent, context.retry_allotment),
+        Err(Unanswered::Unsent) => return HopResult::failed(unsent, context.retry_allotment),
         // What was lent is lost with the answer: it may still be spent.
         Err(Unanswered::Lost) => {
-            return HopEnd::failed(Refusal::unknown(Reason::ConnectionLost), 0);
+            return HopResult::failed(Refusal::unknown(Reason::ConnectionLost), 0);
         }
     };
     // The clock of an instance may be far off, or was when its process started.
@@ -88,17 +88,17 @@
     // request would pass between it and the others. They are stamped by the
     // receiver's clock, which the receiver tells.
     if let Some(their_unix_ms) = authentic_clock(&response, attempt_id, auth) {
-        link.learn_clock(their_unix_ms, attempt.now_unix_ms);
-        return HopEnd::failed(unsent, context.retry_allotment);
+        link.record_clock(their_unix_ms, attempt.now_unix_ms);
+        return HopResult::failed(unsent, context.retry_allotment);
     }
     let Some(told) = authentic_answer(&response, attempt_id, auth) else {
-        return HopEnd::failed(Refusal::unknown(Reason::BadAnswer), 0);
+        return HopResult::failed(Refusal::unknown(Reason::BadAnswer), 0);
     };
     let result = match told.refusal {
         Some(refusal) => Err(refusal),
         None => read_answer(response, attempt).await,
     };
-    HopEnd {
+    HopResult {
         result,
         unspent: told.unspent.min(context.retry_allotment),
         level: Some(told.level),
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -93,7 +93,7 @@
     }
 
     /// The other node told what its clock says.
-    pub fn learn_clock(&self, their_unix_ms: u64, own_unix_ms: u64) {
+    pub fn record_clock(&self, their_unix_ms: u64, own_unix_ms: u64) {
         let offset_ms = their_unix_ms.wrapping_sub(own_unix_ms).cast_signed();
         self.clock_offset_ms.store(offset_ms, Ordering::Relaxed);
     }
@@ -105,7 +105,7 @@
     }
 
     /// Waits until the other node has stopped to answer.
-    pub async fn falls_silent(&self) {
+    pub async fn wait_until_silent(&self) {
         // The sender lives as long as this link.
         let _ = self.is_silent.subscribe().wait_for(|silent| *silent).await;
     }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -7,8 +7,8 @@
 mod server;
 
 pub use {
-    arrivals::Arrivals,
-    client::{Attempt, HopEnd, send},
+    arrivals::SeenAttempts,
+    client::{Attempt, HopResult, send},
     headers::{
         AttemptAnswer, ContentDigest, FleetAuth, MAX_CONTEXT_AGE_MS, PeerHeaderError,
         ReceivedContext, TAG_BYTES, decode_answer, decode_context, encode_answer, encode_context,
--- a/src/platform/origin.rs
+++ b/src/platform/origin.rs
@@ -3,7 +3,7 @@
 use {
     super::{Object, Platform, PlatformError, Watched},
     crate::documents::{
-        Document, DocumentKind, DocumentOrigin, DocumentStore, LookBounds, Versions,
+        Document, DocumentKind, DocumentOrigin, DocumentStore, PollBounds, Versions,
     },
     futures::future::try_join_all,
 };
@@ -13,7 +13,7 @@
 
 impl Platform {
     /// When members look at the platform.
-    pub const LOOK_BOUNDS: LookBounds = LookBounds {
+    pub const LOOK_BOUNDS: PollBounds = PollBounds {
         period_ms: 1000,
         start_delay_ms: 600,
         first_relay_age_ms: 0,
--- a/src/quota/bank.rs
+++ b/src/quota/bank.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        BankRef, BorrowAnswer, BorrowAsk, Bucket, Estate, EstateLease, LeaseAnswer, Process, Rate,
-        UNITS_PER_TOKEN, capacity,
+        BorrowRequest, BorrowResponse, Bucket, HandedOverLease, LeaseResponse, PoolHandover,
+        PoolRef, Process, Rate, UNITS_PER_TOKEN, capacity,
         ledger::Ledger,
         limits::{
             BANK_IDLE_MS, FIRST_LEASE_MS, LEASE_RENEW_MS, LEASE_RETRY_MS, LEASE_TTL_MS,
@@ -31,7 +31,7 @@
 /// An owner to be asked.
 #[derives::value]
 #[derive(Eq)]
-pub struct OwnerAsk {
+pub struct LeaseQuery {
     /// The owner.
     pub owner: String,
     /// Bank from which its lease was handed over, else 0.
@@ -50,7 +50,7 @@
 /// Its level and what it has lent never exceed the capacity of the leases
 /// that outlast a loan.
 #[derive(Debug)]
-pub struct Bank {
+pub struct TokenPool {
     bank_id: u64,
     leases: HashMap<String, Lease>,
     bucket: Bucket,
@@ -64,7 +64,7 @@
     estate_awaited_until_us: u64,
 }
 
-impl Bank {
+impl TokenPool {
     /// A bank without leases; `bank_id` is a random number that no other bank
     /// and no other process has.
     #[must_use]
@@ -106,7 +106,7 @@
         &mut self,
         owners: impl IntoIterator<Item = &'a str>,
         now_us: u64,
-    ) -> Vec<OwnerAsk> {
+    ) -> Vec<LeaseQuery> {
         if !self.is_awake(now_us) {
             return vec![];
         }
@@ -122,7 +122,7 @@
                     lease.awaited_until_us = now_us + us(FIRST_LEASE_MS);
                 }
                 lease.ask_again_us = now_us + us(LEASE_RETRY_MS);
-                to_ask.push(OwnerAsk {
+                to_ask.push(LeaseQuery {
                     owner: owner.to_owned(),
                     predecessor_id: lease.predecessor_id,
                 });
@@ -148,10 +148,10 @@
         &mut self,
         owner: &str,
         sent_us: u64,
-        answer: LeaseAnswer,
+        answer: LeaseResponse,
         rate: Rate,
         now_us: u64,
-    ) -> Option<BankRef> {
+    ) -> Option<PoolRef> {
         if self
             .retired_us
             .is_some_and(|retired_us| sent_us <= retired_us)
@@ -193,7 +193,7 @@
     ///
     /// With the old number an owner that serves a late ask would lease to both:
     /// the successor names that number as its predecessor's.
-    pub fn retire(&mut self, next_bank_id: u64, rate: Rate, now_us: u64) -> Estate {
+    pub fn retire(&mut self, next_bank_id: u64, rate: Rate, now_us: u64) -> PoolHandover {
         self.advance(rate, now_us);
         let mut leases = Vec::new();
         for (owner, lease) in self.leases.drain() {
@@ -203,7 +203,7 @@
                 predecessor_id => predecessor_id,
             };
             if left_us > 0 {
-                leases.push(EstateLease {
+                leases.push(HandedOverLease {
                     owner,
                     holder_id,
                     slice_count: u16::try_from(lease.slice_count).unwrap_or(u16::MAX),
@@ -214,7 +214,7 @@
         self.bank_id = next_bank_id;
         self.retired_us = Some(now_us);
         self.asked_us = None;
-        Estate {
+        PoolHandover {
             level: self.bucket.drain(),
             lent_count: self.lent_count(),
             leases,
@@ -222,7 +222,7 @@
     }
 
     /// Goes on for a bank that handed over when it was asked at `sent_us`.
-    pub fn inherit(&mut self, sent_us: u64, estate: Estate, rate: Rate, now_us: u64) {
+    pub fn inherit(&mut self, sent_us: u64, estate: PoolHandover, rate: Rate, now_us: u64) {
         self.advance(rate, now_us);
         self.estate_awaited_until_us = 0;
         if self
@@ -250,7 +250,7 @@
     }
 
     /// Lends tokens and settles earlier loans of the borrower.
-    pub fn borrow(&mut self, ask: &BorrowAsk, rate: Rate, now_us: u64) -> BorrowAnswer {
+    pub fn borrow(&mut self, ask: &BorrowRequest, rate: Rate, now_us: u64) -> BorrowResponse {
         self.advance(rate, now_us);
         self.settle(ask, rate, now_us);
         let ledger = self.ledgers.entry(ask.borrower.clone()).or_default();
@@ -261,7 +261,7 @@
         // request while the bucket is low.
         let wanted_count = ask.need_count.saturating_add(ask.extra_count / SCARCE_PART);
         let is_short = granted_count < wanted_count;
-        let mut answer = BorrowAnswer {
+        let mut answer = BorrowResponse {
             bank_id: self.bank_id,
             loan: 0,
             granted_count,
@@ -318,7 +318,7 @@
         lent.map(u64::from).sum::<u64>() + inherited.sum::<u64>()
     }
 
-    fn settle(&mut self, ask: &BorrowAsk, rate: Rate, now_us: u64) {
+    fn settle(&mut self, ask: &BorrowRequest, rate: Rate, now_us: u64) {
         if ask.bank_id != self.bank_id {
             return;
         }
@@ -332,7 +332,7 @@
 
     /// Tokens ahead of demand. What one node holds unspent is missing to the
     /// others: out of the lower half of the bucket each gets its part at most.
-    fn extra_count(&self, ask: &BorrowAsk, rate: Rate, now_us: u64) -> u32 {
+    fn extra_count(&self, ask: &BorrowRequest, rate: Rate, now_us: u64) -> u32 {
         let need = u64::from(ask.need_count) * UNITS_PER_TOKEN;
         let left = self.bucket.level.saturating_sub(need);
         let reserve = capacity(rate, self.slice_count(now_us)) / 2;
--- a/src/quota/banking.rs
+++ b/src/quota/banking.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Bank, BankRef, BorrowAnswer, BorrowAsk, Estate, LeaseAnswer, LeaseAsk, OwnerAsk, Rate,
-        banks,
+        BorrowRequest, BorrowResponse, LeaseQuery, LeaseRequest, LeaseResponse, PoolHandover,
+        PoolRef, Rate, TokenPool, banks,
         gate::{LeasedQuota, State, rate_of},
     },
     crate::model::WorkspaceKey,
@@ -20,9 +20,9 @@
     /// renew its lease for as long as the split lasts, and callers on this side
     /// would be refused everything. This way each side is served on its share.
     #[must_use]
-    pub fn lease(&self, ask: &LeaseAsk) -> LeaseAnswer {
+    pub fn lease(&self, ask: &LeaseRequest) -> LeaseResponse {
         if !self.is_own_bank(ask) {
-            return LeaseAnswer::default();
+            return LeaseResponse::default();
         }
         let rate = rate_of(&self.rates(), ask.workspace);
         let mut state = self.lock();
@@ -36,12 +36,12 @@
             .borrow()
             .allows_quota(now_us / 1000);
         if !state.is_usable || !may_use {
-            return LeaseAnswer::default();
+            return LeaseResponse::default();
         }
         state.owner.lease(ask, rate, now_us)
     }
 
-    fn is_own_bank(&self, ask: &LeaseAsk) -> bool {
+    fn is_own_bank(&self, ask: &LeaseRequest) -> bool {
         let inputs = &self.inner.inputs;
         let name = inputs.names.workspace_name(ask.workspace);
         let view = inputs.view.borrow();
@@ -50,12 +50,12 @@
     }
 
     /// Lends tokens as the bank of a workspace.
-    pub async fn borrow(&self, ask: BorrowAsk) -> BorrowAnswer {
+    pub async fn borrow(&self, ask: BorrowRequest) -> BorrowResponse {
         let workspace = ask.workspace;
         let Some(rate) = self.rates().get(&workspace).copied() else {
-            return BorrowAnswer::default();
+            return BorrowResponse::default();
         };
-        self.with_bank(workspace, Bank::wake);
+        self.with_bank(workspace, TokenPool::wake);
         self.ask_owners(workspace, rate);
         while self.with_bank(workspace, |bank, now_us| bank.awaits_owners(now_us)) {
             tokio::time::sleep(Duration::from_millis(OWNERS_POLL_MS)).await;
@@ -81,13 +81,13 @@
         }
     }
 
-    async fn ask_owner(&self, workspace: WorkspaceKey, rate: Rate, to: OwnerAsk, sent_us: u64) {
+    async fn ask_owner(&self, workspace: WorkspaceKey, rate: Rate, to: LeaseQuery, sent_us: u64) {
         let node_id = self.inner.inputs.own.node_id.clone();
         let is_own = to.owner == node_id;
         let bank_id = self.with_bank(workspace, |bank, _| bank.bank_id());
-        let ask = LeaseAsk {
+        let ask = LeaseRequest {
             workspace,
-            bank: BankRef { node_id, bank_id },
+            bank: PoolRef { node_id, bank_id },
             predecessor_id: to.predecessor_id,
         };
         let answer = match self.address(&to.owner) {
@@ -96,7 +96,7 @@
                 let answer = self.inner.inputs.client.lease(address, ask).await;
                 answer.unwrap_or_default()
             }
-            None => LeaseAnswer::default(),
+            None => LeaseResponse::default(),
         };
         let holder = self.with_bank(workspace, |bank, now_us| {
             bank.leased(&to.owner, sent_us, answer, rate, now_us)
@@ -108,7 +108,7 @@
 
     /// Asks the earlier bank to hand over; without, its leases would have to
     /// end first and requests inside their rate would be refused meanwhile.
-    async fn ask_holder(&self, workspace: WorkspaceKey, rate: Rate, holder: &BankRef) {
+    async fn ask_holder(&self, workspace: WorkspaceKey, rate: Rate, holder: &PoolRef) {
         let sent_us = self.now_us();
         let Some(address) = self.address(&holder.node_id) else {
             return;
@@ -128,7 +128,7 @@
 
     /// Hands the bank of a workspace over, unless this node is it by its view.
     #[must_use]
-    pub fn take_over(&self, workspace: WorkspaceKey) -> Option<Estate> {
+    pub fn take_over(&self, workspace: WorkspaceKey) -> Option<PoolHandover> {
         let inputs = &self.inner.inputs;
         let name = inputs.names.workspace_name(workspace);
         let view = inputs.view.borrow().clone();
@@ -144,7 +144,11 @@
 
     // Banks are never dropped: another one of the same process would not know
     // what this one has lent, though owners take both for the same.
-    fn with_bank<T>(&self, workspace: WorkspaceKey, work: impl FnOnce(&mut Bank, u64) -> T) -> T {
+    fn with_bank<T>(
+        &self,
+        workspace: WorkspaceKey,
+        work: impl FnOnce(&mut TokenPool, u64) -> T,
+    ) -> T {
         let mut state = self.lock();
         let now_us = self.now_us();
         let bank = state
@@ -161,6 +165,6 @@
     }
 }
 
-fn new_bank(now_us: u64) -> Bank {
-    Bank::new(rand::random(), now_us)
+fn new_bank(now_us: u64) -> TokenPool {
+    TokenPool::new(rand::random(), now_us)
 }
--- a/src/quota/divided.rs
+++ b/src/quota/divided.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         LEASE_US, QuotaGate, Rate, Rates, RefillBucket, TokenGrant, TokenNeed,
-        holding::{Holding, Verdict},
+        holding::{TokenDecision, TokenHoldings},
     },
     crate::{
         model::{Class, Names, Reason, Refusal, WorkspaceKey},
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 struct Account {
     rate: Rate,
-    holding: Holding,
+    holding: TokenHoldings,
     /// The node's own even share, for when it reaches no divider.
     even: RefillBucket,
 }
@@ -54,8 +54,8 @@
 
 /// What became of a request at once.
 enum Taken {
-    Now(Verdict),
-    Waits(oneshot::Receiver<Verdict>),
+    Now(TokenDecision),
+    Waits(oneshot::Receiver<TokenDecision>),
 }
 
 /// Each node admits by tokens that a divider granted; clones share their state.
@@ -180,7 +180,7 @@
         let is_lent = now_us < state.lent_until_us;
         let account = state.accounts.entry(workspace).or_insert_with(|| Account {
             rate,
-            holding: Holding::default(),
+            holding: TokenHoldings::default(),
             even: RefillBucket::new(now_us),
         });
         account.holding.count_demand(class);
@@ -242,7 +242,7 @@
         })
     }
 
-    fn put_back(&self, workspace: WorkspaceKey, class: Class) {
+    fn refund(&self, workspace: WorkspaceKey, class: Class) {
         let now_us = self.timer.now_us();
         let mut state = self.lock();
         let is_lent = now_us < state.lent_until_us;
--- a/src/quota/division.rs
+++ b/src/quota/division.rs
@@ -64,7 +64,7 @@
 
 /// A process whose share is lent to the divider.
 #[derive(Debug, Clone)]
-struct Reporter {
+struct LentShare {
     received_us: u64,
     ahead_counts: HashMap<String, u32>,
 }
@@ -80,7 +80,7 @@
 /// What reporters have lent to this node; no I/O, no clock.
 #[derive(Debug, Clone, Default)]
 pub struct Division {
-    reporters: BTreeMap<String, Reporter>,
+    reporters: BTreeMap<String, LentShare>,
     accounts: HashMap<String, Account>,
     /// Since when shares have been lent without a pause.
     lent_since_us: u64,
@@ -90,7 +90,7 @@
 
 /// Who reports.
 #[derive(Debug, Clone, Copy)]
-pub struct ReportFrom<'a> {
+pub struct Reporter<'a> {
     /// Name of the node.
     pub node_id: &'a str,
     /// Drawn anew by each process.
@@ -107,12 +107,7 @@
     }
 
     /// Takes in a report: the reporter's share is lent from now on.
-    pub fn report(
-        &mut self,
-        from: ReportFrom<'_>,
-        needs: &HashMap<String, TokenNeed>,
-        now_us: u64,
-    ) {
+    pub fn report(&mut self, from: Reporter<'_>, needs: &HashMap<String, TokenNeed>, now_us: u64) {
         self.reporters
             .retain(|_, reporter| now_us < reporter.received_us + LEASE_US);
         if self.reporters.is_empty() {
@@ -124,7 +119,7 @@
         let ahead_counts = needs
             .iter()
             .map(|(workspace, need)| (workspace.clone(), need.ahead_counts.iter().sum()));
-        let reporter = Reporter {
+        let reporter = LentShare {
             received_us: now_us,
             ahead_counts: ahead_counts.collect(),
         };
@@ -141,7 +136,7 @@
     /// it, in a fleet of so many nodes.
     pub fn grant(
         &mut self,
-        from: ReportFrom<'_>,
+        from: Reporter<'_>,
         workspace: &str,
         rate: Rate,
         need: &TokenNeed,
@@ -196,7 +191,7 @@
             .sum()
     }
 
-    fn live(&self, now_us: u64) -> impl Iterator<Item = &Reporter> {
+    fn live(&self, now_us: u64) -> impl Iterator<Item = &LentShare> {
         self.reporters
             .values()
             .filter(move |reporter| now_us < reporter.received_us + LEASE_US)
--- a/src/quota/gate.rs
+++ b/src/quota/gate.rs
@@ -2,7 +2,8 @@
 
 use {
     super::{
-        Bank, BorrowAnswer, BorrowAsk, Process, Purse, QuotaGate, QuotaOwner, Rate, route::banks,
+        BorrowRequest, BorrowResponse, BorrowedTokens, Process, QuotaGate, QuotaOwner, Rate,
+        TokenPool, route::banks,
     },
     crate::{
         freshness::Snapshot,
@@ -59,7 +60,7 @@
 }
 
 struct Wallet {
-    purse: Purse,
+    purse: BorrowedTokens,
     waiters: Vec<oneshot::Sender<bool>>,
     is_asking: bool,
 }
@@ -69,7 +70,7 @@
     pub(super) owner: QuotaOwner,
     pub(super) is_usable: bool,
     pub(super) owner_ids: Vec<String>,
-    pub(super) banks: HashMap<WorkspaceKey, Bank>,
+    pub(super) banks: HashMap<WorkspaceKey, TokenPool>,
     wallets: HashMap<WorkspaceKey, Wallet>,
 }
 
@@ -196,7 +197,7 @@
     }
 
     /// The bank, or the one of the own zone when it does not answer.
-    async fn ask_banks(&self, ask: &BorrowAsk) -> Option<BorrowAnswer> {
+    async fn ask_banks(&self, ask: &BorrowRequest) -> Option<BorrowResponse> {
         let inputs = &self.inner.inputs;
         let name = inputs.names.workspace_name(ask.workspace);
         let view = inputs.view.borrow().clone();
@@ -241,7 +242,7 @@
     fn wallet<'a>(&self, state: &'a mut State, workspace: WorkspaceKey) -> &'a mut Wallet {
         let wallets = &mut state.wallets;
         wallets.entry(workspace).or_insert_with(|| Wallet {
-            purse: Purse::new(workspace, self.process()),
+            purse: BorrowedTokens::new(workspace, self.process()),
             waiters: Vec::new(),
             is_asking: false,
         })
--- a/src/quota/holding.rs
+++ b/src/quota/holding.rs
@@ -17,7 +17,7 @@
 const KEPT_S: f64 = 1.0;
 
 /// Whether a request got a token, or in how many milliseconds one is expected.
-pub type Verdict = Result<(), u32>;
+pub type TokenDecision = Result<(), u32>;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Demand {
@@ -27,15 +27,15 @@
 
 /// Tokens by class, demand and waiters; no I/O, no clock.
 #[derive(Debug, Default)]
-pub struct Holding {
+pub struct TokenHoldings {
     counts: ClassCounts,
     demands: [Demand; CLASS_COUNT],
-    waiting: [VecDeque<oneshot::Sender<Verdict>>; CLASS_COUNT],
+    waiting: [VecDeque<oneshot::Sender<TokenDecision>>; CLASS_COUNT],
     empty_until_us: [u64; CLASS_COUNT],
     returned_count: u32,
 }
 
-impl Holding {
+impl TokenHoldings {
     /// Counts a request, admitted or not.
     pub const fn count_demand(&mut self, class: Class) {
         self.demands[class.index()].count += 1;
@@ -66,7 +66,7 @@
     }
 
     /// Lets a request wait for the next grant.
-    pub fn wait(&mut self, class: Class) -> oneshot::Receiver<Verdict> {
+    pub fn wait(&mut self, class: Class) -> oneshot::Receiver<TokenDecision> {
         let (sender, receiver) = oneshot::channel();
         self.waiting[class.index()].push_back(sender);
         receiver
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -1,6 +1,6 @@
 //! What a bank has lent to one process of a borrower.
 
-use super::BorrowAsk;
+use super::BorrowRequest;
 
 /// Tokens of one loan that the borrower has not spoken about yet.
 #[derives::key]
@@ -63,7 +63,7 @@
     }
 
     /// Takes in what the borrower states; returns tokens that came back.
-    pub fn settle(&mut self, ask: &BorrowAsk) -> u32 {
+    pub fn settle(&mut self, ask: &BorrowRequest) -> u32 {
         if ask.last_loan < self.settled_loan {
             return 0;
         }
--- a/src/quota/messages.rs
+++ b/src/quota/messages.rs
@@ -15,7 +15,7 @@
 /// A bank of one workspace.
 #[derives::value]
 #[derive(Eq, Default)]
-pub struct BankRef {
+pub struct PoolRef {
     /// Node on which it is.
     pub node_id: String,
     /// Random number, drawn anew by a restart and when the bank hands over.
@@ -25,11 +25,11 @@
 /// A bank asks an owner for its share of a workspace.
 #[derives::value]
 #[derive(Eq)]
-pub struct LeaseAsk {
+pub struct LeaseRequest {
     /// The workspace.
     pub workspace: WorkspaceKey,
     /// The asking bank.
-    pub bank: BankRef,
+    pub bank: PoolRef,
     /// Bank that handed its lease over to the asking one; 0 when none did.
     pub predecessor_id: u64,
 }
@@ -37,7 +37,7 @@
 /// An owner's answer to a bank.
 #[derives::value]
 #[derive(Eq, Default)]
-pub struct LeaseAnswer {
+pub struct LeaseResponse {
     /// Slices whose share is leased; 0 when nothing is granted.
     pub slice_count: u16,
     /// Level moved from the owner's bucket, in units of
@@ -48,25 +48,25 @@
     /// When to ask again, where another bank holds the lease.
     pub busy_ms: u32,
     /// That other bank.
-    pub holder: BankRef,
+    pub holder: PoolRef,
 }
 
 /// What a bank that is one no longer hands over to its successor.
 #[derives::value]
 #[derive(Eq, Default)]
-pub struct Estate {
+pub struct PoolHandover {
     /// Level of its bucket.
     pub level: u64,
     /// Tokens that its borrowers may still spend.
     pub lent_count: u64,
     /// Its leases.
-    pub leases: Vec<EstateLease>,
+    pub leases: Vec<HandedOverLease>,
 }
 
 /// A lease in an [`Estate`].
 #[derives::value]
 #[derive(Eq)]
-pub struct EstateLease {
+pub struct HandedOverLease {
     /// The owner.
     pub owner: String,
     /// Bank for which the owner holds it.
@@ -80,7 +80,7 @@
 /// A node asks a bank for tokens and states what became of earlier ones.
 #[derives::value]
 #[derive(Eq)]
-pub struct BorrowAsk {
+pub struct BorrowRequest {
     /// The workspace.
     pub workspace: WorkspaceKey,
     /// The asking node.
@@ -102,7 +102,7 @@
 /// A bank's answer to a borrower.
 #[derives::key]
 #[derive(Default)]
-pub struct BorrowAnswer {
+pub struct BorrowResponse {
     /// Random number of the answering bank.
     pub bank_id: u64,
     /// Number of the loan; grows with each.
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -20,19 +20,20 @@
 mod violations;
 
 pub use {
-    bank::{Bank, OwnerAsk},
+    bank::{LeaseQuery, TokenPool},
     bucket::{Bucket, capacity},
     divided::DividedQuota,
     divider_choice::DividerChoice,
-    division::{ClassCounts, Division, LEASE_US, ReportFrom, TokenGrant, TokenNeed},
+    division::{ClassCounts, Division, LEASE_US, Reporter, TokenGrant, TokenNeed},
     gate::{LeasedQuota, QuotaInputs, Rates, spawn},
-    holding::{Holding, Verdict},
+    holding::{TokenDecision, TokenHoldings},
     messages::{
-        BankRef, BorrowAnswer, BorrowAsk, Estate, EstateLease, LeaseAnswer, LeaseAsk, Process,
+        BorrowRequest, BorrowResponse, HandedOverLease, LeaseRequest, LeaseResponse, PoolHandover,
+        PoolRef, Process,
     },
     outstanding::Outstanding,
     owner::QuotaOwner,
-    purse::Purse,
+    purse::BorrowedTokens,
     refill::RefillBucket,
     route::banks,
     sharing::{SharingInputs, spawn_sharing},
@@ -74,5 +75,5 @@
 
     /// A request that was admitted did not run after all: its caller keeps the
     /// room.
-    fn put_back(&self, _workspace: WorkspaceKey, _class: Class) {}
+    fn refund(&self, _workspace: WorkspaceKey, _class: Class) {}
 }
--- a/src/quota/owner.rs
+++ b/src/quota/owner.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        BankRef, Bucket, LeaseAnswer, LeaseAsk, Rate,
+        Bucket, LeaseRequest, LeaseResponse, PoolRef, Rate,
         limits::{LEASE_TTL_MS, QUOTA_MARGIN_MS, us},
     },
     crate::{model::WorkspaceKey, slices::SliceIndex},
@@ -18,7 +18,7 @@
 
 #[derives::value]
 struct Lease {
-    bank: BankRef,
+    bank: PoolRef,
     until_us: u64,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Lease {
-    fn is_for(&self, ask: &LeaseAsk) -> bool {
+    fn is_for(&self, ask: &LeaseRequest) -> bool {
         let holder_id = self.bank.bank_id;
         holder_id == ask.bank.bank_id || holder_id == ask.predecessor_id
     }
@@ -145,10 +145,10 @@
     ///
     /// The caller has made sure, at `now_us`, that nobody can have taken the
     /// slices over.
-    pub fn lease(&mut self, ask: &LeaseAsk, rate: Rate, now_us: u64) -> LeaseAnswer {
+    pub fn lease(&mut self, ask: &LeaseRequest, rate: Rate, now_us: u64) -> LeaseResponse {
         let slice_count = self.ready_count(now_us);
         if slice_count == 0 {
-            return LeaseAnswer::default();
+            return LeaseResponse::default();
         }
         let slices = &self.slices;
         let share = self.shares.entry(ask.workspace).or_insert_with(|| Share {
@@ -160,10 +160,10 @@
             && now_us < lease.until_us
         {
             let busy_ms = (lease.until_us - now_us).div_ceil(US_PER_MS);
-            return LeaseAnswer {
+            return LeaseResponse {
                 busy_ms: u32::try_from(busy_ms).unwrap_or(u32::MAX),
                 holder: lease.bank.clone(),
-                ..LeaseAnswer::default()
+                ..LeaseResponse::default()
             };
         }
         share.advance(&self.slices, rate, now_us);
@@ -176,11 +176,11 @@
             bank: ask.bank.clone(),
             until_us,
         });
-        LeaseAnswer {
+        LeaseResponse {
             slice_count: u16::try_from(slice_count).expect("slices fit into 16 bits"),
             level,
             ttl_ms: LEASE_TTL_MS,
-            ..LeaseAnswer::default()
+            ..LeaseResponse::default()
         }
     }
 
--- a/src/quota/purse.rs
+++ b/src/quota/purse.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        BorrowAnswer, BorrowAsk, Process,
+        BorrowRequest, BorrowResponse, Process,
         limits::{EXTRA_MS, LOAN_RETURN_MS, LOAN_TTL_MS, us},
     },
     crate::model::WorkspaceKey,
@@ -39,7 +39,7 @@
 
 /// Borrowed tokens of one workspace; no I/O, no clock.
 #[derive(Debug)]
-pub struct Purse {
+pub struct BorrowedTokens {
     workspace: WorkspaceKey,
     owner: Process,
     loans: VecDeque<Loan>,
@@ -56,7 +56,7 @@
     last_window_count: u32,
 }
 
-impl Purse {
+impl BorrowedTokens {
     /// An empty purse of a process.
     #[must_use]
     pub const fn new(workspace: WorkspaceKey, owner: Process) -> Self {
@@ -113,7 +113,7 @@
     }
 
     /// What to ask the bank while so many requests wait.
-    pub fn ask(&mut self, need_count: u32, now_us: u64) -> BorrowAsk {
+    pub fn ask(&mut self, need_count: u32, now_us: u64) -> BorrowRequest {
         self.expire(now_us);
         let returned_count = std::mem::take(&mut self.returned_count);
         let held = self.loans.iter().filter(|loan| self.is_of_bank(loan));
@@ -122,7 +122,7 @@
         let ahead = demand * us(EXTRA_MS) / DEMAND_WINDOW_US;
         let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
         let extra_count = if need_count == 0 { 0 } else { ahead };
-        BorrowAsk {
+        BorrowRequest {
             workspace: self.workspace,
             borrower: self.owner.clone(),
             bank_id: self.bank_id,
@@ -136,7 +136,7 @@
     }
 
     /// Takes in the answer to the ask that was sent at `sent_us`.
-    pub fn lent(&mut self, sent_us: u64, answer: BorrowAnswer, now_us: u64) {
+    pub fn lent(&mut self, sent_us: u64, answer: BorrowResponse, now_us: u64) {
         if answer.bank_id != self.bank_id {
             self.change_bank(answer.bank_id, now_us);
         }
--- a/src/quota/sharing.rs
+++ b/src/quota/sharing.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        DividedQuota, Division, Rates, ReportFrom, TokenGrant, TokenNeed,
+        DividedQuota, Division, Rates, Reporter, TokenGrant, TokenNeed,
         divider_choice::DividerChoice, outstanding::Outstanding,
     },
     crate::{
@@ -248,7 +248,7 @@
     fn grants(&mut self, report: &Report, now_us: u64) -> Vec<(String, TokenGrant)> {
         let member_count = self.quota.member_count();
         let rates = self.rates();
-        let from = ReportFrom {
+        let from = Reporter {
             node_id: &report.node_id,
             process_id: report.process_id,
             is_new: report.is_new,
--- a/src/retry/chain_budget.rs
+++ b/src/retry/chain_budget.rs
@@ -1,7 +1,9 @@
 //! One budget of retries for the whole chain of an original request.
 
 use {
-    super::{CallKey, Loan, LoanKey, RetryPolicy, ShareLimits, share::RetryShare},
+    super::{
+        CallKey, ChildAllotment, ChildAllotmentKey, RetryPolicy, ShareLimits, share::RetryShare,
+    },
     crate::{arena::Arena, model::ServiceKey},
 };
 
@@ -33,7 +35,7 @@
 #[derive(Debug)]
 pub struct ChainBudget {
     calls: Arena<CallKey, Call>,
-    loans: Arena<LoanKey, OpenLoan>,
+    loans: Arena<ChildAllotmentKey, OpenLoan>,
     shares: Vec<RetryShare>,
     limits: ShareLimits,
 }
@@ -57,16 +59,16 @@
         self.calls.insert(Call { held: allotment })
     }
 
-    fn lend(&mut self, call: CallKey) -> Loan {
+    fn allot_to_child(&mut self, call: CallKey) -> ChildAllotment {
         let allotment = self.calls.get_mut(call).map_or(0, Call::lend);
         let key = self.loans.insert(OpenLoan {
             call,
             lent: allotment,
         });
-        Loan { key, allotment }
+        ChildAllotment { key, allotment }
     }
 
-    fn give_back(&mut self, loan: LoanKey, unspent: u8) {
+    fn return_unspent(&mut self, loan: ChildAllotmentKey, unspent: u8) {
         // Taken out first: an answer that comes twice would otherwise give
         // back twice, and a chain would retry more often than its budget.
         let Some(loan) = self.loans.remove(loan) else {
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -19,15 +19,15 @@
 
 arena_key! {
     /// Allotment that a call lent to one child call.
-    LoanKey
+    ChildAllotmentKey
 }
 
 /// Allotment that a child call carries.
 #[derives::value]
 #[derive(Copy, Eq)]
-pub struct Loan {
+pub struct ChildAllotment {
     /// Names the loan when the child's answer comes.
-    pub key: LoanKey,
+    pub key: ChildAllotmentKey,
     /// Retries that the child and its descendants may spend.
     pub allotment: u8,
 }
@@ -50,12 +50,12 @@
 
     /// Takes allotment out of a call for a child; the child carries it.
     /// A call that is over lends nothing.
-    fn lend(&mut self, call: CallKey) -> Loan;
+    fn allot_to_child(&mut self, call: CallKey) -> ChildAllotment;
 
     /// Puts back what a child did not spend, at most what it was lent and
     /// only once. A child whose answer was lost gives back nothing, since it
     /// may still be spending it: end its loan with 0.
-    fn give_back(&mut self, loan: LoanKey, unspent: u8);
+    fn return_unspent(&mut self, loan: ChildAllotmentKey, unspent: u8);
 
     /// Counts a first attempt at a destination.
     fn first_attempt(&mut self, service: ServiceKey, now_us: u64);
--- a/src/retry/naive.rs
+++ b/src/retry/naive.rs
@@ -1,7 +1,7 @@
 //! Baseline: the same number of retries at every hop.
 
 use {
-    super::{CallKey, Loan, LoanKey, RetryPolicy, ShareLimits},
+    super::{CallKey, ChildAllotment, ChildAllotmentKey, RetryPolicy, ShareLimits},
     crate::{arena::Arena, model::ServiceKey},
 };
 
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct NaiveRetry {
     calls: Arena<CallKey, u8>,
-    loans: Arena<LoanKey, CallKey>,
+    loans: Arena<ChildAllotmentKey, CallKey>,
 }
 
 impl RetryPolicy for NaiveRetry {
@@ -33,14 +33,14 @@
         self.calls.insert(NAIVE_RETRY_COUNT)
     }
 
-    fn lend(&mut self, call: CallKey) -> Loan {
-        Loan {
+    fn allot_to_child(&mut self, call: CallKey) -> ChildAllotment {
+        ChildAllotment {
             key: self.loans.insert(call),
             allotment: NAIVE_RETRY_COUNT,
         }
     }
 
-    fn give_back(&mut self, loan: LoanKey, _unspent: u8) {
+    fn return_unspent(&mut self, loan: ChildAllotmentKey, _unspent: u8) {
         self.loans.remove(loan);
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -57,7 +57,7 @@
 /// What a target is picked for.
 #[derives::value]
 #[derive(Copy, Eq)]
-pub struct Wanted {
+pub struct RouteRequest {
     /// Service that is called.
     pub service: ServiceKey,
     /// Importance of the request.
@@ -82,11 +82,11 @@
 /// What a look at targets that do not answer calls for.
 #[derives::value]
 #[derive(Default, Eq)]
-pub struct Unheard {
+pub struct SilenceCheck {
     /// Targets whose nodes are to be asked whether they live.
-    pub asked: Vec<TargetKey>,
+    pub to_probe: Vec<TargetKey>,
     /// Targets whose nodes have just become silent.
-    pub silent: Vec<TargetKey>,
+    pub newly_silent: Vec<TargetKey>,
 }
 
 /// Picks targets and learns from attempts; no I/O, no clock.
@@ -107,7 +107,7 @@
     /// the attempt as outstanding.
     fn pick<R: rand::Rng>(
         &mut self,
-        wanted: Wanted,
+        wanted: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
         rng: &mut R,
@@ -125,10 +125,10 @@
 
     /// The node beside a target was heard outside of an attempt; returns
     /// whether it had been silent.
-    fn heard(&mut self, target: TargetKey, now_us: u64) -> bool;
+    fn record_response(&mut self, target: TargetKey, now_us: u64) -> bool;
 
     /// Regular look at targets of which nothing is heard.
-    fn unheard(&mut self, now_us: u64) -> Unheard;
+    fn check_silence(&mut self, now_us: u64) -> SilenceCheck;
 
     /// Regular look at ejected targets; returns those that changed, with
     /// whether they are ejected now.
--- a/src/routing/silence.rs
+++ b/src/routing/silence.rs
@@ -24,7 +24,7 @@
 /// What a look at a target's silence calls for.
 #[derives::value]
 #[derive(Copy, Eq)]
-pub struct SilenceLook {
+pub struct SilenceStep {
     /// Its node is to be asked now.
     pub asks: bool,
     /// It has just become silent.
@@ -62,14 +62,14 @@
     }
 
     /// Regular look; `is_waiting` while requests wait for the target.
-    pub fn look(&mut self, is_waiting: bool, now_us: u64) -> SilenceLook {
+    pub fn look(&mut self, is_waiting: bool, now_us: u64) -> SilenceStep {
         let passed_us = now_us.saturating_sub(self.looked_us).min(LOOK_LIMIT_US);
         self.looked_us = now_us;
         let was_silent = self.is_silent();
         if !is_waiting && !was_silent {
             self.asked_us = None;
             self.unanswered_us = 0;
-            return SilenceLook {
+            return SilenceStep {
                 asks: false,
                 falls_silent: false,
             };
@@ -88,7 +88,7 @@
         if asks {
             self.asked_us = Some(now_us);
         }
-        SilenceLook {
+        SilenceStep {
             asks,
             falls_silent: self.is_silent() && !was_silent,
         }
--- a/src/routing/zone_router.rs
+++ b/src/routing/zone_router.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AttemptResult, Distance, RoutePolicy, TargetInfo, TargetKey, Unheard, Wanted,
+        AttemptResult, Distance, RoutePolicy, RouteRequest, SilenceCheck, TargetInfo, TargetKey,
         ejection::{ejection_limit, median_us},
         target::{Health, Target},
     },
@@ -98,7 +98,7 @@
 
     fn pick<R: Rng>(
         &mut self,
-        wanted: Wanted,
+        wanted: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
         rng: &mut R,
@@ -144,22 +144,22 @@
         }
     }
 
-    fn heard(&mut self, target: TargetKey, now_us: u64) -> bool {
+    fn record_response(&mut self, target: TargetKey, now_us: u64) -> bool {
         let entry = self.targets.get_mut(target);
         entry.is_some_and(|entry| entry.silence.heard(now_us))
     }
 
-    fn unheard(&mut self, now_us: u64) -> Unheard {
-        let mut unheard = Unheard::default();
+    fn check_silence(&mut self, now_us: u64) -> SilenceCheck {
+        let mut unheard = SilenceCheck::default();
         let doubted = self.doubted_zones();
         for (key, target) in self.targets.iter_mut() {
             let is_waiting = target.outstanding_count > 0 || doubted.contains(&target.info.zone);
             let look = target.silence.look(is_waiting, now_us);
             if look.asks {
-                unheard.asked.push(key);
+                unheard.to_probe.push(key);
             }
             if look.falls_silent {
-                unheard.silent.push(key);
+                unheard.newly_silent.push(key);
             }
         }
         unheard
@@ -213,7 +213,7 @@
     /// at last one that was tried before.
     fn pick_admitting<R: Rng>(
         &self,
-        wanted: Wanted,
+        wanted: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
         rng: &mut R,
@@ -234,7 +234,7 @@
     /// An ejected target, or one on trial, when no target is healthy.
     fn pick_unhealthy<R: Rng>(
         &self,
-        wanted: Wanted,
+        wanted: RouteRequest,
         now_us: u64,
         rng: &mut R,
     ) -> Option<TargetKey> {
@@ -257,7 +257,7 @@
     /// request admitted, no answer would tell that there is room again.
     fn pick_probe<R: Rng>(
         &mut self,
-        wanted: Wanted,
+        wanted: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
         rng: &mut R,
@@ -275,7 +275,7 @@
     /// a tier further away where it is expected to take clearly less time.
     fn pick_where<R: Rng>(
         &self,
-        wanted: Wanted,
+        wanted: RouteRequest,
         now_us: u64,
         rng: &mut R,
         is_wanted: impl Fn(TargetKey, &Target) -> bool,
@@ -355,7 +355,7 @@
         }
     }
 
-    fn refusal<R: Rng>(&self, wanted: Wanted, now_us: u64, rng: &mut R) -> Refusal {
+    fn refusal<R: Rng>(&self, wanted: RouteRequest, now_us: u64, rng: &mut R) -> Refusal {
         let service = self.services.get(wanted.service.index());
         let has_target = service.is_some_and(|service| {
             service
@@ -373,7 +373,7 @@
 }
 
 /// Whether a target may get the request now, whatever its load.
-fn may_serve(wanted: Wanted, target: &Target, now_us: u64) -> bool {
+fn may_serve(wanted: RouteRequest, target: &Target, now_us: u64) -> bool {
     wanted.regions.allows(target.info.region) && !target.is_away(now_us)
 }
 
--- a/src/rpc/client.rs
+++ b/src/rpc/client.rs
@@ -6,7 +6,7 @@
         documents::{Document, DocumentKind},
         guard::Handover,
         model::WorkspaceKey,
-        quota::{BorrowAnswer, BorrowAsk, Estate, LeaseAnswer, LeaseAsk},
+        quota::{BorrowRequest, BorrowResponse, LeaseRequest, LeaseResponse, PoolHandover},
     },
     std::{net::SocketAddr, sync::Arc},
     tokio::sync::{mpsc, oneshot},
@@ -64,16 +64,16 @@
         reply: Reply<Option<Document>>,
     },
     Lease {
-        ask: LeaseAsk,
-        reply: Reply<LeaseAnswer>,
+        ask: LeaseRequest,
+        reply: Reply<LeaseResponse>,
     },
     Borrow {
-        ask: BorrowAsk,
-        reply: Reply<BorrowAnswer>,
+        ask: BorrowRequest,
+        reply: Reply<BorrowResponse>,
     },
     TakeOver {
         workspace: WorkspaceKey,
-        reply: Reply<Option<Estate>>,
+        reply: Reply<Option<PoolHandover>>,
     },
     HandOver {
         handover: Handover,
@@ -135,7 +135,11 @@
     }
 
     /// Asks an owner for its share of a workspace.
-    pub async fn lease(&self, address: SocketAddr, ask: LeaseAsk) -> Result<LeaseAnswer, RpcError> {
+    pub async fn lease(
+        &self,
+        address: SocketAddr,
+        ask: LeaseRequest,
+    ) -> Result<LeaseResponse, RpcError> {
         self.call(address, |reply| Command::Lease { ask, reply })
             .await
     }
@@ -144,8 +148,8 @@
     pub async fn borrow(
         &self,
         address: SocketAddr,
-        ask: BorrowAsk,
-    ) -> Result<BorrowAnswer, RpcError> {
+        ask: BorrowRequest,
+    ) -> Result<BorrowResponse, RpcError> {
         self.call(address, |reply| Command::Borrow { ask, reply })
             .await
     }
@@ -156,7 +160,7 @@
         &self,
         address: SocketAddr,
         workspace: WorkspaceKey,
-    ) -> Result<Option<Estate>, RpcError> {
+    ) -> Result<Option<PoolHandover>, RpcError> {
         let command = |reply| Command::TakeOver { workspace, reply };
         self.call(address, command).await
     }
--- a/src/rpc/codec.rs
+++ b/src/rpc/codec.rs
@@ -5,7 +5,8 @@
         guard::{GuardKey, Handover, History, SliceExport, SliceRecord, StoredAnswer},
         model::{Names, WorkspaceKey},
         quota::{
-            BankRef, BorrowAnswer, BorrowAsk, Estate, EstateLease, LeaseAnswer, LeaseAsk, Process,
+            BorrowRequest, BorrowResponse, HandedOverLease, LeaseRequest, LeaseResponse,
+            PoolHandover, PoolRef, Process,
         },
         schema::rpc_capnp as wire,
         slices::{SLICE_COUNT, SliceIndex},
@@ -35,14 +36,14 @@
     builder.set_started_unix_ms(process.started_unix_ms);
 }
 
-fn read_bank(reader: wire::bank::Reader<'_>) -> Result<BankRef, Error> {
-    Ok(BankRef {
+fn read_bank(reader: wire::bank::Reader<'_>) -> Result<PoolRef, Error> {
+    Ok(PoolRef {
         node_id: text(reader.get_node_id()?)?,
         bank_id: reader.get_bank_id(),
     })
 }
 
-fn write_bank(bank: &BankRef, mut builder: wire::bank::Builder<'_>) {
+fn write_bank(bank: &PoolRef, mut builder: wire::bank::Builder<'_>) {
     builder.set_node_id(&bank.node_id);
     builder.set_bank_id(bank.bank_id);
 }
@@ -50,22 +51,26 @@
 pub fn read_lease_ask(
     names: &Names,
     reader: wire::lease_ask::Reader<'_>,
-) -> Result<LeaseAsk, Error> {
-    Ok(LeaseAsk {
+) -> Result<LeaseRequest, Error> {
+    Ok(LeaseRequest {
         workspace: workspace(names, reader.get_workspace()?)?,
         bank: read_bank(reader.get_bank()?)?,
         predecessor_id: reader.get_predecessor_id(),
     })
 }
 
-pub fn write_lease_ask(names: &Names, ask: &LeaseAsk, mut builder: wire::lease_ask::Builder<'_>) {
+pub fn write_lease_ask(
+    names: &Names,
+    ask: &LeaseRequest,
+    mut builder: wire::lease_ask::Builder<'_>,
+) {
     builder.set_workspace(names.workspace_name(ask.workspace));
     builder.set_predecessor_id(ask.predecessor_id);
     write_bank(&ask.bank, builder.init_bank());
 }
 
-pub fn read_lease_answer(reader: wire::lease_answer::Reader<'_>) -> Result<LeaseAnswer, Error> {
-    Ok(LeaseAnswer {
+pub fn read_lease_answer(reader: wire::lease_answer::Reader<'_>) -> Result<LeaseResponse, Error> {
+    Ok(LeaseResponse {
         slice_count: reader.get_slice_count(),
         level: reader.get_level(),
         ttl_ms: reader.get_ttl_ms(),
@@ -74,7 +79,7 @@
     })
 }
 
-pub fn write_lease_answer(answer: &LeaseAnswer, mut builder: wire::lease_answer::Builder<'_>) {
+pub fn write_lease_answer(answer: &LeaseResponse, mut builder: wire::lease_answer::Builder<'_>) {
     builder.set_slice_count(answer.slice_count);
     builder.set_level(answer.level);
     builder.set_ttl_ms(answer.ttl_ms);
@@ -82,23 +87,23 @@
     write_bank(&answer.holder, builder.init_holder());
 }
 
-pub fn read_estate(reader: wire::estate::Reader<'_>) -> Result<Estate, Error> {
+pub fn read_estate(reader: wire::estate::Reader<'_>) -> Result<PoolHandover, Error> {
     let leases = reader.get_leases()?.iter().map(|lease| {
-        Ok(EstateLease {
+        Ok(HandedOverLease {
             owner: text(lease.get_owner()?)?,
             holder_id: lease.get_holder_id(),
             slice_count: lease.get_slice_count(),
             left_ms: lease.get_left_ms(),
         })
     });
-    Ok(Estate {
+    Ok(PoolHandover {
         level: reader.get_level(),
         lent_count: reader.get_lent_count(),
         leases: leases.collect::<Result<_, Error>>()?,
     })
 }
 
-pub fn write_estate(estate: &Estate, mut builder: wire::estate::Builder<'_>) {
+pub fn write_estate(estate: &PoolHandover, mut builder: wire::estate::Builder<'_>) {
     builder.set_level(estate.level);
     builder.set_lent_count(estate.lent_count);
     let mut leases = builder.init_leases(list_length(&estate.leases));
@@ -114,8 +119,8 @@
 pub fn read_borrow_ask(
     names: &Names,
     reader: wire::borrow_ask::Reader<'_>,
-) -> Result<BorrowAsk, Error> {
-    Ok(BorrowAsk {
+) -> Result<BorrowRequest, Error> {
+    Ok(BorrowRequest {
         workspace: workspace(names, reader.get_workspace()?)?,
         borrower: read_process(reader.get_borrower()?)?,
         bank_id: reader.get_bank_id(),
@@ -129,7 +134,7 @@
 
 pub fn write_borrow_ask(
     names: &Names,
-    ask: &BorrowAsk,
+    ask: &BorrowRequest,
     mut builder: wire::borrow_ask::Builder<'_>,
 ) {
     builder.set_workspace(names.workspace_name(ask.workspace));
@@ -142,8 +147,8 @@
     write_process(&ask.borrower, builder.init_borrower());
 }
 
-pub fn read_borrow_answer(reader: wire::borrow_answer::Reader<'_>) -> BorrowAnswer {
-    BorrowAnswer {
+pub fn read_borrow_answer(reader: wire::borrow_answer::Reader<'_>) -> BorrowResponse {
+    BorrowResponse {
         bank_id: reader.get_bank_id(),
         loan: reader.get_loan(),
         granted_count: reader.get_granted_count(),
@@ -152,7 +157,7 @@
     }
 }
 
-pub fn write_borrow_answer(answer: BorrowAnswer, mut builder: wire::borrow_answer::Builder<'_>) {
+pub fn write_borrow_answer(answer: BorrowResponse, mut builder: wire::borrow_answer::Builder<'_>) {
     builder.set_bank_id(answer.bank_id);
     builder.set_loan(answer.loan);
     builder.set_granted_count(answer.granted_count);
--- a/src/rpc/connection.rs
+++ b/src/rpc/connection.rs
@@ -12,7 +12,7 @@
         documents::{Document, DocumentKind},
         guard::Handover,
         model::{Names, WorkspaceKey},
-        quota::{BorrowAnswer, BorrowAsk, Estate, LeaseAnswer, LeaseAsk},
+        quota::{BorrowRequest, BorrowResponse, LeaseRequest, LeaseResponse, PoolHandover},
         schema::rpc_capnp::{gate, node},
     },
     capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side, twoparty::VatNetwork},
@@ -220,7 +220,11 @@
         }))
     }
 
-    async fn lease(&self, node: node::Client, ask: LeaseAsk) -> Result<LeaseAnswer, capnp::Error> {
+    async fn lease(
+        &self,
+        node: node::Client,
+        ask: LeaseRequest,
+    ) -> Result<LeaseResponse, capnp::Error> {
         let mut request = node.lease_request();
         codec::write_lease_ask(&self.names, &ask, request.get().init_ask());
         let asked = request.get().into_reader().total_size()?.word_count;
@@ -235,8 +239,8 @@
     async fn borrow(
         &self,
         node: node::Client,
-        ask: BorrowAsk,
-    ) -> Result<BorrowAnswer, capnp::Error> {
+        ask: BorrowRequest,
+    ) -> Result<BorrowResponse, capnp::Error> {
         let mut request = node.borrow_request();
         codec::write_borrow_ask(&self.names, &ask, request.get().init_ask());
         let asked = request.get().into_reader().total_size()?.word_count;
@@ -252,7 +256,7 @@
         &self,
         node: node::Client,
         workspace: WorkspaceKey,
-    ) -> Result<Option<Estate>, capnp::Error> {
+    ) -> Result<Option<PoolHandover>, capnp::Error> {
         let mut request = node.take_over_request();
         request
             .get()
--- a/src/rpc/handlers.rs
+++ b/src/rpc/handlers.rs
@@ -6,7 +6,9 @@
         documents::{Document, DocumentKind},
         guard::{GuardHome, Handover},
         model::WorkspaceKey,
-        quota::{BorrowAnswer, BorrowAsk, Estate, LeaseAnswer, LeaseAsk, LeasedQuota},
+        quota::{
+            BorrowRequest, BorrowResponse, LeaseRequest, LeaseResponse, LeasedQuota, PoolHandover,
+        },
     },
     std::sync::Arc,
 };
@@ -41,15 +43,15 @@
         self.documents.document(kind, above_version)
     }
 
-    fn lease(&self, ask: LeaseAsk) -> LeaseAnswer {
+    fn lease(&self, ask: LeaseRequest) -> LeaseResponse {
         self.quota.lease(&ask)
     }
 
-    async fn borrow(&self, ask: BorrowAsk) -> BorrowAnswer {
+    async fn borrow(&self, ask: BorrowRequest) -> BorrowResponse {
         self.quota.borrow(ask).await
     }
 
-    fn take_over(&self, workspace: WorkspaceKey) -> Option<Estate> {
+    fn take_over(&self, workspace: WorkspaceKey) -> Option<PoolHandover> {
         self.quota.take_over(workspace)
     }
 
--- a/src/rpc/mod.rs
+++ b/src/rpc/mod.rs
@@ -25,7 +25,7 @@
         documents::{Document, DocumentKind},
         guard::Handover,
         model::WorkspaceKey,
-        quota::{BorrowAnswer, BorrowAsk, Estate, LeaseAnswer, LeaseAsk},
+        quota::{BorrowRequest, BorrowResponse, LeaseRequest, LeaseResponse, PoolHandover},
     },
     std::future::Future,
 };
@@ -39,14 +39,14 @@
     fn document(&self, kind: DocumentKind, above_version: u64) -> Option<Document>;
 
     /// Leases this node's share of a workspace to a bank.
-    fn lease(&self, ask: LeaseAsk) -> LeaseAnswer;
+    fn lease(&self, ask: LeaseRequest) -> LeaseResponse;
 
     /// Lends tokens as the bank of a workspace.
-    fn borrow(&self, ask: BorrowAsk) -> impl Future<Output = BorrowAnswer> + Send;
+    fn borrow(&self, ask: BorrowRequest) -> impl Future<Output = BorrowResponse> + Send;
 
     /// Hands the bank of a workspace over to the asking node, unless this node
     /// takes itself for the bank.
-    fn take_over(&self, workspace: WorkspaceKey) -> Option<Estate>;
+    fn take_over(&self, workspace: WorkspaceKey) -> Option<PoolHandover>;
 
     /// Takes in keys of a slice that was given up for this node.
     fn hand_over(&self, handover: Handover) -> bool;
--- a/src/target/exchange.rs
+++ b/src/target/exchange.rs
@@ -3,7 +3,7 @@
 use {
     super::{Lease, PoolError, TargetPool},
     crate::{
-        dialect::{Dialect, TargetCall, TargetWord},
+        dialect::{Dialect, TargetCall, TargetSignal},
         exchange::Outbound,
         model::{Reason, Refusal},
     },
@@ -24,7 +24,7 @@
     /// The connection that it comes over.
     pub lease: Lease,
     /// What the head means.
-    pub word: TargetWord,
+    pub word: TargetSignal,
 }
 
 /// Sends the request under this handle and returns the head of the answer.
--- a/src/target/gate.rs
+++ b/src/target/gate.rs
@@ -37,7 +37,7 @@
 
 /// Why nothing more is sent for now.
 #[derives::key]
-pub enum Closed {
+pub enum GateClosed {
     /// The target's availability zone is evacuated.
     Evacuated,
     /// The cold target has got what it bears.
@@ -126,10 +126,15 @@
 
     /// Whether a request could be sent now; `bound_count` is how many a cold
     /// target may get in any second, 0 for no bound.
-    pub fn check(&mut self, urgency: Urgency, bound_count: u32, now_us: u64) -> Result<(), Closed> {
+    pub fn check(
+        &mut self,
+        urgency: Urgency,
+        bound_count: u32,
+        now_us: u64,
+    ) -> Result<(), GateClosed> {
         self.bound_count = bound_count;
         if self.is_evacuated {
-            return Err(Closed::Evacuated);
+            return Err(GateClosed::Evacuated);
         }
         if !self.is_cold(now_us) {
             return Ok(());
@@ -145,12 +150,17 @@
         let allowed_count = (bound_count * share_percent / 100).max(1);
         match self.sent_count(now_us) < allowed_count {
             true => Ok(()),
-            false => Err(Closed::Cold { left_us }),
+            false => Err(GateClosed::Cold { left_us }),
         }
     }
 
     /// Lets a request pass, which is sent at this moment.
-    pub fn pass(&mut self, urgency: Urgency, bound_count: u32, now_us: u64) -> Result<(), Closed> {
+    pub fn pass(
+        &mut self,
+        urgency: Urgency,
+        bound_count: u32,
+        now_us: u64,
+    ) -> Result<(), GateClosed> {
         self.check(urgency, bound_count, now_us)?;
         // Kept also while the target is warm: what it got just before it became
         // cold counts as well.
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -9,7 +9,7 @@
 
 pub use {
     exchange::{TargetAnswer, exchange},
-    gate::{Closed, SendGate, Urgency},
+    gate::{GateClosed, SendGate, Urgency},
     pool::{Lease, PoolError, PoolTarget, TargetPool},
     registration::{Registration, Standing},
     serve::serve_local,
--- a/src/target/passage.rs
+++ b/src/target/passage.rs
@@ -1,7 +1,7 @@
 //! Requests at the send gate of their target.
 
 use {
-    super::{Closed, Urgency},
+    super::{GateClosed, Urgency},
     crate::{
         model::{Reason, Refusal, RequestContext, ServiceKey, begins_chain},
         node::{Node, Policies},
@@ -47,11 +47,11 @@
     })
 }
 
-fn refusal_of(closed: Closed) -> Refusal {
+fn refusal_of(closed: GateClosed) -> Refusal {
     let spread_ms = rand::random::<u32>() % CLOSED_RETRY_WIDTH_MS;
     let (reason, least_ms) = match closed {
-        Closed::Evacuated => (Reason::ZoneEvacuated, CLOSED_RETRY_MS),
-        Closed::Cold { left_us } => {
+        GateClosed::Evacuated => (Reason::ZoneEvacuated, CLOSED_RETRY_MS),
+        GateClosed::Cold { left_us } => {
             let left_ms = left_us.and_then(|left_us| u32::try_from(left_us / 1000).ok());
             (Reason::TargetCold, left_ms.unwrap_or(CLOSED_RETRY_MS))
         }
--- a/tests/admission_relief.rs
+++ b/tests/admission_relief.rs
@@ -62,7 +62,7 @@
                 }
             }
         }
-        let is_felt = relief.is_felt(case.class, 5_000_000);
+        let is_felt = relief.would_reduce_downstream_load(case.class, 5_000_000);
         assert_eq!(is_felt, case.is_felt, "{}", case.name);
     }
 }
@@ -80,5 +80,5 @@
         relief.arrive(None, step * 1000);
         relief.end(None, 200_000);
     }
-    assert!(relief.is_felt(Class::Browse, 5_000_000));
+    assert!(relief.would_reduce_downstream_load(Class::Browse, 5_000_000));
 }
--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -5,7 +5,7 @@
 use {
     dogwoodbridge::{
         documents::{
-            Document, DocumentKind, DocumentStore, FollowerParts, Hint, Neighbours, Versions,
+            Document, DocumentKind, DocumentStore, FollowerParts, Hint, Peers, Versions,
             spawn_follower,
         },
         membership::{
@@ -152,7 +152,7 @@
     held: Arc<Mutex<Vec<(String, Document)>>>,
 }
 
-impl Neighbours for FakeNeighbours {
+impl Peers for FakeNeighbours {
     async fn fetch(
         &self,
         node_id: &str,
--- a/tests/documents_schedule.rs
+++ b/tests/documents_schedule.rs
@@ -1,21 +1,21 @@
 //! Who looks at the documents' origin, without network and clock.
 
 use {
-    dogwoodbridge::documents::{LookBounds, LookRole},
+    dogwoodbridge::documents::{PollBounds, PollRole},
     rand::{Rng, SeedableRng, rngs::StdRng},
 };
 
-const BOUNDS: LookBounds = LookBounds::PAID;
+const BOUNDS: PollBounds = PollBounds::PAID;
 
-const fn role(rank: Option<usize>, member_count: usize) -> LookRole {
-    LookRole {
+const fn role(rank: Option<usize>, member_count: usize) -> PollRole {
+    PollRole {
         rank,
         member_count,
         has_relays: true,
     }
 }
 
-const WITHOUT_RELAYS: LookRole = LookRole {
+const WITHOUT_RELAYS: PollRole = PollRole {
     rank: None,
     member_count: 16,
     has_relays: false,
@@ -25,7 +25,7 @@
 fn members_look_in_turn_as_the_last_look_ages() {
     struct Case {
         name: &'static str,
-        role: LookRole,
+        role: PollRole,
         age_ms: Option<u64>,
         draw: f64,
         is_due: bool,
@@ -117,7 +117,7 @@
 
 #[test]
 fn without_looks_by_others_only_relays_look() {
-    let bounds = LookBounds {
+    let bounds = PollBounds {
         others: None,
         ..BOUNDS
     };
--- a/tests/evacuations_fleet.rs
+++ b/tests/evacuations_fleet.rs
@@ -3,12 +3,12 @@
 mod objects_support;
 
 use {
-    dogwoodbridge::documents::LookBounds,
+    dogwoodbridge::documents::PollBounds,
     objects_support::{BOUNDS, Fleet, Mood},
 };
 
 /// Members that are no relays never look.
-const RELAYS_ONLY: LookBounds = LookBounds {
+const RELAYS_ONLY: PollBounds = PollBounds {
     others: None,
     ..BOUNDS
 };
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -127,7 +127,7 @@
 #[tokio::test]
 async fn revocations_are_told_once_and_kept_until_the_document_has_them() {
     let revocations = Revocations::new();
-    let mut learnt = revocations.subscribe_learnt();
+    let mut learnt = revocations.subscribe_new();
     let digest = KeyDigest::of_key("k1");
     assert!(revocations.apply(digest));
     assert!(!revocations.apply(digest));
--- a/tests/objects_fleet.rs
+++ b/tests/objects_fleet.rs
@@ -3,21 +3,21 @@
 mod objects_support;
 
 use {
-    dogwoodbridge::documents::{LookBounds, OtherLooks},
+    dogwoodbridge::documents::{PeerPolls, PollBounds},
     objects_support::{BOUNDS, CONFIRMED_MS, Fleet, Mood, WATCH_MS},
     rand::{Rng, SeedableRng, rngs::StdRng},
     std::{sync::atomic::Ordering, time::Duration},
 };
 
 /// Members that are no relays never look.
-const RELAYS_ONLY: LookBounds = LookBounds {
+const RELAYS_ONLY: PollBounds = PollBounds {
     others: None,
     ..BOUNDS
 };
 
 /// Other members look late, unless no relay reaches the store.
-const LATE_OTHERS: LookBounds = LookBounds {
-    others: Some(OtherLooks {
+const LATE_OTHERS: PollBounds = PollBounds {
+    others: Some(PeerPolls {
         age_ms: 600_000,
         rate_per_s: 40.0,
         alone_age_ms: 30,
--- a/tests/objects_support/mod.rs
+++ b/tests/objects_support/mod.rs
@@ -6,8 +6,8 @@
     dogwoodbridge::{
         conf::{Evacuations, spawn_evacuations},
         documents::{
-            Document, DocumentKind, DocumentStore, FollowerParts, Hint, LookBounds, Neighbours,
-            OtherLooks,
+            Document, DocumentKind, DocumentStore, FollowerParts, Hint, PeerPolls, Peers,
+            PollBounds,
         },
         freshness::{Freshness, Snapshot},
         membership::{
@@ -47,13 +47,13 @@
 /// How long a confirmed look speaks for the present.
 pub const CONFIRMED_MS: u64 = 400;
 /// Times of followers that look often.
-pub const BOUNDS: LookBounds = LookBounds {
+pub const BOUNDS: PollBounds = PollBounds {
     period_ms: 10,
     start_delay_ms: 0,
     first_relay_age_ms: 40,
     second_relay_age_ms: 60,
     ask_relays_age_ms: Some(80),
-    others: Some(OtherLooks {
+    others: Some(PeerPolls {
         age_ms: 120,
         rate_per_s: 40.0,
         alone_age_ms: 30,
@@ -253,12 +253,12 @@
 
 /// Documents of the other nodes, and whether this one can fetch them.
 #[derive(Clone)]
-struct Peers {
+struct StubPeers {
     documents: Vec<DocumentStore>,
     is_cut: Arc<AtomicBool>,
 }
 
-impl Neighbours for Peers {
+impl Peers for StubPeers {
     async fn fetch(
         &self,
         node_id: &str,
@@ -296,7 +296,7 @@
 
 impl Fleet {
     /// Starts so many nodes in each zone.
-    pub fn new(zone_count: usize, nodes_per_zone: usize, bounds: LookBounds) -> Self {
+    pub fn new(zone_count: usize, nodes_per_zone: usize, bounds: PollBounds) -> Self {
         Self::with_mood(zone_count, nodes_per_zone, bounds, Mood::Well)
     }
 
@@ -304,7 +304,7 @@
     pub fn with_mood(
         zone_count: usize,
         nodes_per_zone: usize,
-        bounds: LookBounds,
+        bounds: PollBounds,
         mood: Mood,
     ) -> Self {
         let node_count = zone_count * nodes_per_zone;
@@ -337,7 +337,7 @@
                     WATCH_MS,
                 ),
                 bounds,
-                neighbours: Peers {
+                neighbours: StubPeers {
                     documents: documents.clone(),
                     is_cut: is_cut.clone(),
                 },
@@ -409,7 +409,7 @@
             store: documents.clone(),
             origin: ObjectOrigin::new(self.store.clone(), followed(), documents.clone(), WATCH_MS),
             bounds: BOUNDS,
-            neighbours: Peers {
+            neighbours: StubPeers {
                 documents: vec![documents],
                 is_cut: Arc::default(),
             },
--- a/tests/peer_faults.rs
+++ b/tests/peer_faults.rs
@@ -293,7 +293,7 @@
                 attempt_id: sent.attempt_id
             })
         );
-        link.learn_clock(their_unix_ms, OWN_UNIX_MS);
+        link.record_clock(their_unix_ms, OWN_UNIX_MS);
         let value = encode_context(&sent, &names, stamp(OWN_UNIX_MS + 5000));
         assert_eq!(
             decode_context(&value, &names, their_unix_ms + 5000),
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -3,8 +3,8 @@
 use dogwoodbridge::{
     model::WorkspaceKey,
     quota::{
-        Bank, BankRef, BorrowAnswer, BorrowAsk, LeaseAnswer, LeaseAsk, Process, Purse, QuotaOwner,
-        Rate, UNITS_PER_TOKEN,
+        BorrowRequest, BorrowResponse, BorrowedTokens, LeaseRequest, LeaseResponse, PoolRef,
+        Process, QuotaOwner, Rate, TokenPool, UNITS_PER_TOKEN,
         limits::{LEASE_TTL_MS, LOAN_TTL_MS, QUOTA_MARGIN_MS, us},
     },
     slices::SliceIndex,
@@ -25,17 +25,17 @@
     }
 }
 
-fn whole_lease() -> LeaseAnswer {
-    LeaseAnswer {
+fn whole_lease() -> LeaseResponse {
+    LeaseResponse {
         slice_count: 4096,
         level: 40 * UNITS_PER_TOKEN,
         ttl_ms: LEASE_TTL_MS,
-        ..LeaseAnswer::default()
+        ..LeaseResponse::default()
     }
 }
 
-fn ask(need_count: u32) -> BorrowAsk {
-    BorrowAsk {
+fn ask(need_count: u32) -> BorrowRequest {
+    BorrowRequest {
         workspace: WORKSPACE,
         borrower: process("b"),
         bank_id: BANK_ID,
@@ -51,7 +51,7 @@
 /// The owner uses the share again by now; both would admit on it.
 #[test]
 fn a_lease_that_arrives_late_counts_from_the_ask() {
-    let mut bank = Bank::new(BANK_ID, 0);
+    let mut bank = TokenPool::new(BANK_ID, 0);
     bank.leased("o", 0, whole_lease(), RATE, us(LEASE_TTL_MS));
     assert_eq!(
         bank.borrow(&ask(1), RATE, us(LEASE_TTL_MS)).granted_count,
@@ -74,12 +74,12 @@
         rate_per_s: 1_000_000,
         ..RATE
     };
-    let mut bank = Bank::new(BANK_ID, 0);
+    let mut bank = TokenPool::new(BANK_ID, 0);
     bank.leased("o", 0, whole_lease(), refill, 0);
     let first = bank.borrow(&ask(40), refill, 0);
     assert_eq!((first.granted_count, first.loan), (40, 1));
     assert_eq!(bank.borrow(&ask(1), refill, 1000).granted_count, 0);
-    let states = |last_loan, held_count| BorrowAsk {
+    let states = |last_loan, held_count| BorrowRequest {
         last_loan,
         held_count,
         ..ask(40)
@@ -96,10 +96,10 @@
 
 #[test]
 fn returned_tokens_are_lent_again_once() {
-    let mut bank = Bank::new(BANK_ID, 0);
+    let mut bank = TokenPool::new(BANK_ID, 0);
     bank.leased("o", 0, whole_lease(), RATE, 0);
     bank.borrow(&ask(10), RATE, 0);
-    let back = BorrowAsk {
+    let back = BorrowRequest {
         last_loan: 1,
         returned_count: 6,
         ..ask(0)
@@ -113,7 +113,7 @@
 /// share would be used by both.
 #[test]
 fn a_bank_that_handed_over_takes_in_no_earlier_lease() {
-    let mut bank = Bank::new(BANK_ID, 0);
+    let mut bank = TokenPool::new(BANK_ID, 0);
     bank.leased("o", 0, whole_lease(), RATE, 0);
     bank.borrow(&ask(15), RATE, 0);
     let estate = bank.retire(78, RATE, 1000);
@@ -126,7 +126,7 @@
         78,
         "owners must not take it for the old one"
     );
-    let mut late = Bank::new(98, 0);
+    let mut late = TokenPool::new(98, 0);
     let late_us = us(LEASE_TTL_MS) - us(LOAN_TTL_MS);
     late.inherit(0, estate.clone(), RATE, late_us);
     let answer = late.borrow(&ask(1), RATE, late_us);
@@ -134,7 +134,7 @@
     bank.leased("o", 1000, whole_lease(), RATE, 2000);
     assert_eq!(bank.borrow(&ask(1), RATE, 2000).granted_count, 0);
 
-    let mut successor = Bank::new(99, 0);
+    let mut successor = TokenPool::new(99, 0);
     successor.inherit(500, estate, RATE, 2000);
     assert_eq!(successor.borrow(&ask(99), RATE, 2000).granted_count, 25);
     let owners = successor.owners_to_ask(["o"], 2000);
@@ -182,11 +182,11 @@
         },
     ];
     for case in cases {
-        let mut purse = Purse::new(WORKSPACE, process("b"));
+        let mut purse = BorrowedTokens::new(WORKSPACE, process("b"));
         let mut now_us = 0;
         for (bank_id, loan, arrives_us) in case.answers {
             now_us = arrives_us;
-            let answer = BorrowAnswer {
+            let answer = BorrowResponse {
                 bank_id,
                 loan,
                 granted_count: 5,
@@ -213,16 +213,16 @@
     let quarantine_us = us(LEASE_TTL_MS + QUOTA_MARGIN_MS);
     let mut owner = QuotaOwner::new();
     owner.set_slices([(SliceIndex::new(3), 1)], |_| rate, 0);
-    let lease = |bank_id| LeaseAsk {
+    let lease = |bank_id| LeaseRequest {
         workspace: WORKSPACE,
-        bank: BankRef {
+        bank: PoolRef {
             node_id: "bank".to_owned(),
             bank_id,
         },
         predecessor_id: 0,
     };
     let early = owner.lease(&lease(1), rate, quarantine_us - 1);
-    assert_eq!(early, LeaseAnswer::default());
+    assert_eq!(early, LeaseResponse::default());
     owner.track([(WORKSPACE, rate)], quarantine_us);
     let now_us = quarantine_us + 500_000;
     let granted = owner.lease(&lease(1), rate, now_us);
@@ -241,7 +241,7 @@
         (1, 0),
         "its level went along before"
     );
-    let successor = LeaseAsk {
+    let successor = LeaseRequest {
         predecessor_id: 1,
         ..lease(3)
     };
--- a/tests/quota_division.rs
+++ b/tests/quota_division.rs
@@ -7,7 +7,7 @@
 use {
     dogwoodbridge::{
         model::Class,
-        quota::{Division, Holding, LEASE_US, Rate, RefillBucket, ReportFrom},
+        quota::{Division, LEASE_US, Rate, RefillBucket, Reporter, TokenHoldings},
     },
     rand::{Rng, SeedableRng, rngs::StdRng},
     std::collections::{HashMap, VecDeque},
@@ -29,7 +29,7 @@
 struct Node {
     process_id: u64,
     is_new: bool,
-    holding: Holding,
+    holding: TokenHoldings,
     even: RefillBucket,
     lent_until_us: u64,
     division: Division,
@@ -40,7 +40,7 @@
         Self {
             process_id,
             is_new: true,
-            holding: Holding::default(),
+            holding: TokenHoldings::default(),
             even: RefillBucket::new(now_us),
             lent_until_us: 0,
             division: Division::new(),
@@ -153,7 +153,7 @@
         let node_id = place.to_string();
         let node = &mut self.nodes[place];
         let need = node.holding.need();
-        let from = ReportFrom {
+        let from = Reporter {
             node_id: &node_id,
             process_id: node.process_id,
             is_new: std::mem::replace(&mut node.is_new, false),
@@ -306,7 +306,7 @@
         let mut fleet = Fleet::new();
         let mut division = Division::new();
         for place in 0..NODE_COUNT {
-            let from = ReportFrom {
+            let from = Reporter {
                 node_id: &place.to_string(),
                 process_id: place as u64,
                 is_new: true,
--- a/tests/quota_property.rs
+++ b/tests/quota_property.rs
@@ -9,8 +9,8 @@
     dogwoodbridge::{
         model::WorkspaceKey,
         quota::{
-            Bank, BankRef, BorrowAnswer, BorrowAsk, Estate, LeaseAnswer, LeaseAsk, Process, Purse,
-            QuotaOwner, Rate,
+            BorrowRequest, BorrowResponse, BorrowedTokens, LeaseRequest, LeaseResponse,
+            PoolHandover, PoolRef, Process, QuotaOwner, Rate, TokenPool,
             limits::{LEASE_TTL_MS, QUOTA_MARGIN_MS},
             window_violations,
         },
@@ -29,12 +29,12 @@
 
 #[derive(Clone)]
 enum Message {
-    LeaseAsk { ask: LeaseAsk, call: u64 },
-    LeaseAnswer { call: u64, answer: LeaseAnswer },
+    LeaseAsk { ask: LeaseRequest, call: u64 },
+    LeaseAnswer { call: u64, answer: LeaseResponse },
     TakeOver { call: u64 },
-    Estate { call: u64, estate: Estate },
-    BorrowAsk { ask: BorrowAsk, call: u64 },
-    BorrowAnswer { call: u64, answer: BorrowAnswer },
+    Estate { call: u64, estate: PoolHandover },
+    BorrowAsk { ask: BorrowRequest, call: u64 },
+    BorrowAnswer { call: u64, answer: BorrowResponse },
 }
 
 #[derive(Clone)]
@@ -55,8 +55,8 @@
     clock_offset_us: u64,
     paused_until_us: u64,
     owner: QuotaOwner,
-    bank: Bank,
-    purse: Purse,
+    bank: TokenPool,
+    purse: BorrowedTokens,
     calls: Vec<Call>,
     /// When the bank's calls to owners and earlier banks were sent.
     bank_calls: HashMap<u64, u64>,
@@ -150,8 +150,8 @@
             clock_offset_us,
             paused_until_us: 0,
             owner: QuotaOwner::new(),
-            bank: Bank::new(self.random.random(), now_us),
-            purse: Purse::new(WORKSPACE, name),
+            bank: TokenPool::new(self.random.random(), now_us),
+            purse: BorrowedTokens::new(WORKSPACE, name),
             calls: vec![],
             bank_calls: HashMap::new(),
             wait_count: 0,
@@ -297,7 +297,7 @@
         }
     }
 
-    fn ask_holder(&mut self, node: usize, holder: Option<BankRef>) {
+    fn ask_holder(&mut self, node: usize, holder: Option<PoolRef>) {
         let Some(holder) = holder else {
             return;
         };
@@ -383,12 +383,12 @@
         let names: Vec<String> = (0..OWNER_COUNT).map(|owner| owner.to_string()).collect();
         let bank = &mut self.nodes[node].bank;
         let to_ask = bank.owners_to_ask(names.iter().map(String::as_str), now_us);
-        let bank = BankRef {
+        let bank = PoolRef {
             node_id: node.to_string(),
             bank_id: bank.bank_id(),
         };
         for to in to_ask {
-            let ask = LeaseAsk {
+            let ask = LeaseRequest {
                 workspace: WORKSPACE,
                 bank: bank.clone(),
                 predecessor_id: to.predecessor_id,
--- a/tests/quota_rpc.rs
+++ b/tests/quota_rpc.rs
@@ -7,7 +7,8 @@
         guard::{GuardKey, Handover, History, SliceExport, SliceRecord, StoredAnswer},
         model::{Names, WorkspaceKey},
         quota::{
-            BankRef, BorrowAnswer, BorrowAsk, Estate, EstateLease, LeaseAnswer, LeaseAsk, Process,
+            BorrowRequest, BorrowResponse, HandedOverLease, LeaseRequest, LeaseResponse,
+            PoolHandover, PoolRef, Process,
         },
         rpc::{self, CallKind, Handlers, RpcClient, RpcConfig, RpcError},
         settings::Settings,
@@ -25,7 +26,7 @@
 /// Answers from fixed values and keeps what it was asked.
 #[derive(Default)]
 struct Fake {
-    borrowed: Mutex<Vec<BorrowAsk>>,
+    borrowed: Mutex<Vec<BorrowRequest>>,
     handed_over: Mutex<Vec<Handover>>,
 }
 
@@ -38,8 +39,8 @@
         })
     }
 
-    fn lease(&self, ask: LeaseAsk) -> LeaseAnswer {
-        LeaseAnswer {
+    fn lease(&self, ask: LeaseRequest) -> LeaseResponse {
+        LeaseResponse {
             slice_count: u16::try_from(ask.predecessor_id).expect("small in this test"),
             level: 1 << 50,
             ttl_ms: 3,
@@ -48,9 +49,9 @@
         }
     }
 
-    async fn borrow(&self, ask: BorrowAsk) -> BorrowAnswer {
+    async fn borrow(&self, ask: BorrowRequest) -> BorrowResponse {
         self.borrowed.lock().expect("no panic").push(ask);
-        BorrowAnswer {
+        BorrowResponse {
             bank_id: 1,
             loan: 2,
             granted_count: 3,
@@ -59,7 +60,7 @@
         }
     }
 
-    fn take_over(&self, _: WorkspaceKey) -> Option<Estate> {
+    fn take_over(&self, _: WorkspaceKey) -> Option<PoolHandover> {
         Some(estate_of_fake())
     }
 
@@ -69,11 +70,11 @@
     }
 }
 
-fn estate_of_fake() -> Estate {
-    Estate {
+fn estate_of_fake() -> PoolHandover {
+    PoolHandover {
         level: 1 << 51,
         lent_count: 5,
-        leases: vec![EstateLease {
+        leases: vec![HandedOverLease {
             owner: "o".to_owned(),
             holder_id: 1 << 60,
             slice_count: 6,
@@ -138,17 +139,17 @@
     assert_eq!((document.version, document.content.len()), (9, 1 << 20));
     assert_eq!(fetch(9).await, Ok(None));
 
-    let bank = BankRef {
+    let bank = PoolRef {
         node_id: "bank".to_owned(),
         bank_id: u64::MAX,
     };
-    let ask = LeaseAsk {
+    let ask = LeaseRequest {
         workspace: ours,
         bank: bank.clone(),
         predecessor_id: 77,
     };
     let answer = asker.client.lease(asked.address, ask).await;
-    let expected = LeaseAnswer {
+    let expected = LeaseResponse {
         slice_count: 77,
         level: 1 << 50,
         ttl_ms: 3,
@@ -159,7 +160,7 @@
     let estate = asker.client.take_over(asked.address, ours).await;
     assert_eq!(estate, Ok(Some(estate_of_fake())));
 
-    let ask = BorrowAsk {
+    let ask = BorrowRequest {
         workspace: ours,
         borrower: process(1),
         bank_id: 2,
@@ -171,7 +172,7 @@
     };
     let answer = asker.client.borrow(asked.address, ask.clone()).await;
     assert_eq!(answer.map(|answer| answer.granted_count), Ok(3));
-    let expected = BorrowAsk {
+    let expected = BorrowRequest {
         workspace: theirs,
         ..ask
     };
--- a/tests/quota_tokens.rs
+++ b/tests/quota_tokens.rs
@@ -3,7 +3,9 @@
 use {
     dogwoodbridge::{
         model::{Class, WorkspaceKey},
-        quota::{DividedQuota, DividerChoice, Holding, Outstanding, QuotaGate, Rate, TokenGrant},
+        quota::{
+            DividedQuota, DividerChoice, Outstanding, QuotaGate, Rate, TokenGrant, TokenHoldings,
+        },
         timer::Timer,
     },
     tokio_util::sync::CancellationToken,
@@ -22,7 +24,7 @@
 /// tokens of orders.
 #[test]
 fn those_that_wait_are_served_by_importance() {
-    let mut holding = Holding::default();
+    let mut holding = TokenHoldings::default();
     let mut waits =
         [Class::Browse, Class::Standard, Class::Critical].map(|class| (class, holding.wait(class)));
     assert_eq!(holding.need().waiting_counts, [1, 1, 1]);
@@ -133,7 +135,7 @@
     for _ in 0..3 {
         assert!(quota.admit(workspace, RATE, Class::Browse).await.is_ok());
         assert!(quota.admit(workspace, RATE, Class::Browse).await.is_err());
-        quota.put_back(workspace, Class::Browse);
+        quota.refund(workspace, Class::Browse);
     }
 }
 
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -85,10 +85,10 @@
     for case in cases {
         let mut budget = ChainBudget::new();
         let call = budget.open(case.allotment);
-        let loan = budget.lend(call);
+        let loan = budget.allot_to_child(call);
         assert_eq!(loan.allotment, case.lent, "{}", case.name);
         for unspent in case.given_back {
-            budget.give_back(loan.key, *unspent);
+            budget.return_unspent(loan.key, *unspent);
         }
         assert_eq!(budget.close(call), case.held, "{}", case.name);
         assert_eq!(budget.loan_count(), 0, "{}", case.name);
@@ -101,12 +101,12 @@
 fn an_answer_after_the_parents_end_goes_to_nobody() {
     let mut budget = ChainBudget::new();
     let parent = budget.open(2);
-    let loan = budget.lend(parent);
+    let loan = budget.allot_to_child(parent);
     assert_eq!(budget.close(parent), 1);
     let stranger = budget.open(0);
-    budget.give_back(loan.key, 1);
+    budget.return_unspent(loan.key, 1);
     assert_eq!(budget.close(stranger), 0);
-    assert_eq!(budget.lend(parent).allotment, 0);
+    assert_eq!(budget.allot_to_child(parent).allotment, 0);
     assert_eq!(budget.close(parent), 0);
 }
 
@@ -227,21 +227,21 @@
     }
 
     fn child(&mut self, depth: usize, call: CallKey) -> bool {
-        let share = self.nodes[depth].lend(call);
+        let share = self.nodes[depth].allot_to_child(call);
         let own = self.nodes[depth].open(share.allotment);
         let is_success = self.attempts(depth, own);
         let left = self.nodes[depth].close(own);
-        self.nodes[depth].give_back(share.key, left);
+        self.nodes[depth].return_unspent(share.key, left);
         is_success
     }
 
     fn attempts(&mut self, depth: usize, own: CallKey) -> bool {
         self.nodes[depth].first_attempt(SERVICE, self.now_us);
         loop {
-            let loan = self.nodes[depth].lend(own);
+            let loan = self.nodes[depth].allot_to_child(own);
             let answer = self.hop(depth + 1, loan.allotment);
             let unspent = answer.map_or(0, |(_, left)| left);
-            self.nodes[depth].give_back(loan.key, unspent);
+            self.nodes[depth].return_unspent(loan.key, unspent);
             if answer.is_some_and(|(is_success, _)| is_success) {
                 return true;
             }
--- a/tests/routing_properties.rs
+++ b/tests/routing_properties.rs
@@ -7,7 +7,7 @@
     dogwoodbridge::{
         model::{AdmissionLevel, Class, Outcome, RegionKey, RegionSet, ServiceKey, ZoneKey},
         routing::{
-            AttemptResult, Distance, RoutePolicy, TargetInfo, TargetKey, Wanted, ZoneRouter,
+            AttemptResult, Distance, RoutePolicy, RouteRequest, TargetInfo, TargetKey, ZoneRouter,
         },
     },
     generated::for_each_case,
@@ -111,7 +111,7 @@
     fn pick(&mut self, choice: u8) {
         let service = ServiceKey::new(u16::from(choice % 2));
         let class = Class::ALL[usize::from(choice) % 3];
-        let wanted = Wanted {
+        let wanted = RouteRequest {
             service,
             class,
             regions: RegionSet::ANY,
--- a/tests/routing_silence.rs
+++ b/tests/routing_silence.rs
@@ -4,7 +4,7 @@
     dogwoodbridge::{
         model::{Class, Reason, RegionKey, RegionSet, ServiceKey, ZoneKey},
         routing::{
-            AttemptResult, Distance, RoutePolicy, TargetInfo, TargetKey, Wanted, ZoneRouter,
+            AttemptResult, Distance, RoutePolicy, RouteRequest, TargetInfo, TargetKey, ZoneRouter,
         },
     },
     rand::{SeedableRng, rngs::StdRng},
@@ -25,7 +25,7 @@
     cut: Vec<TargetKey>,
 }
 
-const WANTED: Wanted = Wanted {
+const WANTED: RouteRequest = RouteRequest {
     service: SERVICE,
     class: Class::Standard,
     regions: RegionSet::ANY,
@@ -65,9 +65,9 @@
     /// One look; nodes that are not cut off answer at once.
     fn step(&mut self) {
         self.now_us += STEP_US;
-        for target in self.router.unheard(self.now_us).asked {
+        for target in self.router.check_silence(self.now_us).to_probe {
             if !self.cut.contains(&target) {
-                self.router.heard(target, self.now_us);
+                self.router.record_response(target, self.now_us);
             }
         }
     }
@@ -137,9 +137,12 @@
     }
     fixture.run(1_000_000);
     fixture.now_us += 5_000_000;
-    fixture.router.unheard(fixture.now_us);
+    fixture.router.check_silence(fixture.now_us);
     assert!(fixture.pick().is_ok());
-    let silent = fixture.router.unheard(fixture.now_us + STEP_US).silent;
+    let silent = fixture
+        .router
+        .check_silence(fixture.now_us + STEP_US)
+        .newly_silent;
     assert!(silent.is_empty());
 }
 
--- a/tests/routing_zone.rs
+++ b/tests/routing_zone.rs
@@ -4,8 +4,8 @@
     dogwoodbridge::{
         model::{AdmissionLevel, Class, Reason, RegionKey, RegionSet, ServiceKey, ZoneKey},
         routing::{
-            AttemptResult, Distance, LEVEL_AGE_LIMIT_US, PROBE_PERIOD_US, RoutePolicy, TargetInfo,
-            TargetKey, Wanted, ZoneRouter,
+            AttemptResult, Distance, LEVEL_AGE_LIMIT_US, PROBE_PERIOD_US, RoutePolicy,
+            RouteRequest, TargetInfo, TargetKey, ZoneRouter,
         },
     },
     rand::{SeedableRng, rngs::StdRng},
@@ -88,8 +88,8 @@
     }
 }
 
-const fn wanted(class: Class) -> Wanted {
-    Wanted {
+const fn wanted(class: Class) -> RouteRequest {
+    RouteRequest {
         service: SERVICE,
         class,
         regions: RegionSet::ANY,
@@ -447,7 +447,7 @@
         };
         let elsewhere = fixture.router.add(elsewhere, 0);
         fixture.targets.push(elsewhere);
-        let wanted = Wanted {
+        let wanted = RouteRequest {
             regions: case.regions,
             ..wanted(Class::Critical)
         };
--- a/tests/target_gate.rs
+++ b/tests/target_gate.rs
@@ -6,7 +6,7 @@
 use {
     dogwoodbridge::{
         model::Class,
-        target::{Closed, SendGate, Urgency},
+        target::{GateClosed, SendGate, Urgency},
     },
     generated::for_each_case,
 };
@@ -161,7 +161,7 @@
     passed_in_second(&mut gate, Urgency::Begun, 0, 100);
     let refused = gate.pass(Urgency::Begun, BOUND, SECOND_US - 1);
     let left_us = Some(2 * SECOND_US + 1);
-    assert_eq!(refused, Err(Closed::Cold { left_us }));
+    assert_eq!(refused, Err(GateClosed::Cold { left_us }));
     assert!(pass(&mut gate, Urgency::Begun, 3 * SECOND_US));
     assert_eq!(gate.load_percent(3 * SECOND_US), 0);
 }
@@ -175,7 +175,7 @@
     assert!(!gate.set_evacuated(true));
     for bound in [0, BOUND] {
         let refused = gate.pass(Urgency::Begun, bound, 0);
-        assert_eq!(refused, Err(Closed::Evacuated));
+        assert_eq!(refused, Err(GateClosed::Evacuated));
     }
     assert!(gate.set_evacuated(false));
     assert!(pass(&mut gate, Urgency::Begun, 0));
