--- a/benches/gossip.rs
+++ b/benches/gossip.rs
@@ -1,8 +1,8 @@
 //! Cost of gossip per node at several fleet sizes: bytes and datagrams sent,
-//! processor time, size of the state. Run with `cargo bench --bench gossip`.
+//! processor time, visible members. Run with `cargo bench --bench gossip`.
 //!
-//! Drives the protocol and the codec of every node in memory; only the sockets
-//! are missing, whose cost a real fleet adds.
+//! Runs the protocol and the codec of every node in memory, without sockets,
+//! whose cost a real fleet adds.
 
 use {
     dogwoodbridge::{
@@ -34,8 +34,8 @@
 
 struct Fleet {
     nodes: Vec<Swim>,
-    addresses: HashMap<SocketAddr, usize>,
-    sources: Vec<SocketAddr>,
+    indices: HashMap<SocketAddr, usize>,
+    addresses_by_index: Vec<SocketAddr>,
     codec: PacketCodec,
     rng: StdRng,
     now_ms: u64,
@@ -46,8 +46,8 @@
     fn new(node_count: usize) -> Self {
         let records: Vec<Record> = (0..node_count).map(record).collect();
         let seed = records[0].gossip_address();
-        let sources = records.iter().map(Record::gossip_address).collect();
-        let addresses = records
+        let addresses_by_index = records.iter().map(Record::gossip_address).collect();
+        let indices = records
             .iter()
             .enumerate()
             .map(|(i, r)| (r.gossip_address(), i))
@@ -60,8 +60,8 @@
         let rng = StdRng::seed_from_u64(1);
         Self {
             nodes,
-            addresses,
-            sources,
+            indices,
+            addresses_by_index,
             codec,
             rng,
             now_ms: 0,
@@ -99,8 +99,8 @@
             let datagram = self.codec.encode(&outgoing.packet);
             self.cost.datagram_count += 1;
             self.cost.byte_count += datagram.len() as u64;
-            let from = self.sources[from];
-            let to = self.addresses[&outgoing.to];
+            let from = self.addresses_by_index[from];
+            let to = self.indices[&outgoing.to];
             let decoded = self.codec.decode(&datagram);
             let Ok(Datagram::Packet(packet)) = decoded else {
                 panic!("own packets are valid");
@@ -113,7 +113,7 @@
         }
     }
 
-    fn members_seen(&mut self) -> usize {
+    fn visible_member_count(&mut self) -> usize {
         let node = self.nodes.last_mut().expect("fleets have nodes");
         let mut out = Vec::new();
         node.set_own_state(own_state(0), self.now_ms, &mut self.rng, &mut out);
@@ -167,7 +167,7 @@
         fleet.run(SETTLE_MS, false);
         for churn in [false, true] {
             let cost = fleet.run(MEASURE_MS, churn);
-            let members = fleet.members_seen();
+            let members = fleet.visible_member_count();
             let per_node_s = (node_count as f64) * (MEASURE_MS as f64) / 1000.0;
             println!(
                 "{node_count:5}  {churn:5}  {members:7}  {:11.2}  {:7.0}  {:9.1}",
--- a/src/membership/codec.rs
+++ b/src/membership/codec.rs
@@ -1,9 +1,10 @@
-//! Cap'n Proto form of gossip packets, authenticated with the fleet secret.
+//! Encodes gossip packets as packed Cap'n Proto messages, authenticated with
+//! the fleet secret.
 
 use {
     super::{
         Announcement, Liveness, MemberPorts, Packet, PacketKind, Record,
-        life_check::{LIFE_CHECK_MARK, LifeCheck},
+        liveness_probe::{LIVENESS_PROBE_MARKER, LivenessProbe},
     },
     crate::{
         documents::{KIND_COUNT, Versions},
@@ -16,59 +17,60 @@
     std::net::{IpAddr, Ipv4Addr, Ipv6Addr},
 };
 
-/// Bytes of the truncated HMAC before the packed message.
+/// Length of the truncated HMAC that precedes the message.
 const TAG_BYTES: usize = 16;
 
-/// Largest datagram that is read.
+/// Size of the receive buffer; longer datagrams are truncated and thus
+/// rejected.
 pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
 /// Words that a reader may visit; bounds the work that a datagram can cause.
 const TRAVERSAL_LIMIT_WORDS: usize = 16 << 10;
 
-/// Most records or digests in one packet.
+/// Maximum number of records or digests in one packet.
 const MAX_LIST_LENGTH: u32 = 64;
 
-/// Marks the absence of a confirmed look at the platform.
-const NEVER_MS: u64 = u64::MAX;
+/// Encodes the absence of a confirmed poll of the platform.
+const NO_PLATFORM_POLL_MS: u64 = u64::MAX;
 
 /// A datagram that is not a valid packet of this fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
-    /// It does not carry a tag made with the fleet secret.
+    /// It has no valid tag made with the fleet secret.
     #[error("the datagram is not authenticated with the fleet secret")]
     NotAuthentic,
-    /// It is not a Cap'n Proto message of this schema.
+    /// It is not a Cap'n Proto message of the gossip schema.
     #[error("the datagram is malformed: {0}")]
     Malformed(#[from] capnp::Error),
-    /// It is not a life check.
-    #[error("the life check is malformed: {0}")]
-    BadLifeCheck(#[from] postcard::Error),
-    /// A text is not UTF-8.
-    #[error("a text in the datagram is not UTF-8")]
-    NotText,
-    /// A field holds a value that has no meaning.
-    #[error("field {field} of the datagram has no valid value")]
-    BadField {
+    /// It is marked as a liveness probe but cannot be decoded as one.
+    #[error("the liveness probe is malformed: {0}")]
+    MalformedLivenessProbe(#[from] postcard::Error),
+    /// A text field is not UTF-8.
+    #[error("a text field of the datagram is not UTF-8")]
+    NotUtf8,
+    /// A field holds an invalid value.
+    #[error("field {field} of the datagram has an invalid value")]
+    InvalidField {
         /// Name of the field in the schema.
         field: String,
     },
 }
 
-/// Reads and writes authenticated packets.
+/// Encodes and decodes authenticated datagrams.
 #[derive(Clone)]
 pub struct PacketCodec {
     mac: Hmac<Sha256>,
 }
 
 impl PacketCodec {
-    /// A codec for the fleet with this secret.
+    /// Creates the codec for the fleet with this secret.
     #[must_use]
     pub fn new(fleet_secret: &str) -> Self {
         let mac = Hmac::new_from_slice(fleet_secret.as_bytes()).expect("any length is accepted");
         Self { mac }
     }
 
-    /// Bytes of a datagram.
+    /// Encodes a packet as a datagram.
     #[must_use]
     pub fn encode(&self, packet: &Packet) -> Vec<u8> {
         let mut message = capnp::message::Builder::new_default();
@@ -78,7 +80,7 @@
         self.tagged(&body)
     }
 
-    /// The body of a datagram behind its tag.
+    /// Prepends the authentication tag to the body of a datagram.
     #[must_use]
     pub fn tagged(&self, body: &[u8]) -> Vec<u8> {
         let tag = self.mac.clone().chain_update(body).finalize().into_bytes();
@@ -87,14 +89,14 @@
         datagram
     }
 
-    /// Bytes of a life check's datagram.
+    /// Encodes a liveness probe as a datagram.
     #[must_use]
-    pub fn encode_life_check(&self, check: LifeCheck) -> Vec<u8> {
-        let body = postcard::to_extend(&check, vec![LIFE_CHECK_MARK]);
+    pub fn encode_liveness_probe(&self, probe: LivenessProbe) -> Vec<u8> {
+        let body = postcard::to_extend(&probe, vec![LIVENESS_PROBE_MARKER]);
         self.tagged(&body.expect("a Vec accepts all writes"))
     }
 
-    /// What a datagram says.
+    /// Verifies the tag of a datagram and decodes it.
     pub fn decode(&self, datagram: &[u8]) -> Result<Datagram, CodecError> {
         let (tag, body) = datagram
             .split_at_checked(TAG_BYTES)
@@ -103,21 +105,21 @@
         mac.verify_truncated_left(tag)
             .map_err(|_| CodecError::NotAuthentic)?;
         match body.split_first() {
-            Some((&LIFE_CHECK_MARK, check)) => {
-                Ok(Datagram::LifeCheck(postcard::from_bytes(check)?))
-            }
+            Some((&LIVENESS_PROBE_MARKER, encoded_probe)) => Ok(Datagram::LivenessProbe(
+                postcard::from_bytes(encoded_probe)?,
+            )),
             _ => decode_packet(body).map(|packet| Datagram::Packet(Box::new(packet))),
         }
     }
 }
 
-/// An authentic datagram.
+/// An authenticated datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Datagram {
-    /// Gossip.
+    /// A gossip packet.
     Packet(Box<Packet>),
-    /// A question whether this node lives, or the answer to one.
-    LifeCheck(LifeCheck),
+    /// A liveness probe of this node, or the response to a probe that it sent.
+    LivenessProbe(LivenessProbe),
 }
 
 fn decode_packet(body: &[u8]) -> Result<Packet, CodecError> {
@@ -133,22 +135,22 @@
     if let PacketKind::PingRequest { subject } = &packet.kind {
         builder.set_subject(subject.as_str());
     }
-    let mut versions = builder.reborrow().init_versions(wire_length(KIND_COUNT));
+    let mut versions = builder.reborrow().init_versions(to_wire_u32(KIND_COUNT));
     for (index, version) in packet.versions.0.iter().enumerate() {
-        versions.set(wire_length(index), *version);
+        versions.set(to_wire_u32(index), *version);
     }
-    builder.set_platform_age_ms(packet.platform_age_ms.unwrap_or(NEVER_MS));
+    builder.set_platform_age_ms(packet.platform_age_ms.unwrap_or(NO_PLATFORM_POLL_MS));
     builder.set_origin_failing(packet.is_origin_failing);
     builder.set_table_hash(packet.table_hash);
     let mut updates = builder
         .reborrow()
-        .init_updates(wire_length(packet.updates.len()));
+        .init_updates(to_wire_u32(packet.updates.len()));
     for (index, update) in packet.updates.iter().enumerate() {
-        write_record(update, updates.reborrow().get(wire_length(index)));
+        write_record(update, updates.reborrow().get(to_wire_u32(index)));
     }
-    let mut revocations = builder.init_revocations(wire_length(packet.revocations.len()));
+    let mut revocations = builder.init_revocations(to_wire_u32(packet.revocations.len()));
     for (index, digest) in packet.revocations.iter().enumerate() {
-        revocations.set(wire_length(index), &digest.0);
+        revocations.set(to_wire_u32(index), &digest.0);
     }
 }
 
@@ -180,8 +182,8 @@
 
 fn read_packet(reader: packet::Reader<'_>) -> Result<Packet, CodecError> {
     let mut versions = Versions::default();
-    for (place, version) in versions.0.iter_mut().zip(reader.get_versions()?) {
-        *place = version;
+    for (entry, version) in versions.0.iter_mut().zip(reader.get_versions()?) {
+        *entry = version;
     }
     let updates = reader.get_updates()?;
     check_length(updates.len(), "updates")?;
@@ -193,7 +195,9 @@
     check_length(digests.len(), "revocations")?;
     let mut revocations = Vec::new();
     for digest in digests {
-        let digest = digest?.try_into().map_err(|_| bad_field("revocations"))?;
+        let digest = digest?
+            .try_into()
+            .map_err(|_| invalid_field("revocations"))?;
         revocations.push(KeyDigest(digest));
     }
     Ok(Packet {
@@ -201,7 +205,8 @@
         sequence: reader.get_sequence(),
         kind: read_kind(reader)?,
         versions,
-        platform_age_ms: Some(reader.get_platform_age_ms()).filter(|age_ms| *age_ms != NEVER_MS),
+        platform_age_ms: Some(reader.get_platform_age_ms())
+            .filter(|age_ms| *age_ms != NO_PLATFORM_POLL_MS),
         is_origin_failing: reader.get_origin_failing(),
         table_hash: reader.get_table_hash(),
         updates,
@@ -213,7 +218,7 @@
     let target = if reader.get_has_target() {
         let target = reader.get_target()?;
         Some(Announcement {
-            service: text(target.get_service()?)?,
+            service: read_text(target.get_service()?)?,
             slot_count: target.get_slot_count(),
             connection_count: target.get_connection_count(),
             draining: target.get_draining(),
@@ -222,7 +227,7 @@
         None
     };
     Ok(Record {
-        node_id: text(reader.get_node_id()?)?,
+        node_id: read_text(reader.get_node_id()?)?,
         ip: read_ip(reader.get_ip()?)?,
         ports: MemberPorts {
             peer: reader.get_peer_port(),
@@ -230,12 +235,12 @@
             rpc: reader.get_rpc_port(),
             control: reader.get_control_port(),
         },
-        region: text(reader.get_region()?)?,
-        zone: text(reader.get_zone()?)?,
+        region: read_text(reader.get_region()?)?,
+        zone: read_text(reader.get_zone()?)?,
         started_unix_ms: reader.get_started_unix_ms(),
         incarnation: reader.get_incarnation(),
         liveness: Liveness::from_code(reader.get_liveness())
-            .ok_or_else(|| bad_field("liveness"))?,
+            .ok_or_else(|| invalid_field("liveness"))?,
         draining: reader.get_draining(),
         target,
     })
@@ -249,7 +254,7 @@
         PacketKind::IndirectAck => 3,
         PacketKind::SyncRequest => 4,
         PacketKind::SyncPart => 5,
-        PacketKind::News => 6,
+        PacketKind::Updates => 6,
     }
 }
 
@@ -258,13 +263,13 @@
         0 => PacketKind::Ping,
         1 => PacketKind::Ack,
         2 => PacketKind::PingRequest {
-            subject: text(reader.get_subject()?)?,
+            subject: read_text(reader.get_subject()?)?,
         },
         3 => PacketKind::IndirectAck,
         4 => PacketKind::SyncRequest,
         5 => PacketKind::SyncPart,
-        6 => PacketKind::News,
-        _ => return Err(bad_field("kind")),
+        6 => PacketKind::Updates,
+        _ => return Err(invalid_field("kind")),
     })
 }
 
@@ -272,28 +277,28 @@
     if let Ok(octets) = <[u8; 4]>::try_from(octets) {
         return Ok(IpAddr::V4(Ipv4Addr::from(octets)));
     }
-    let octets = <[u8; 16]>::try_from(octets).map_err(|_| bad_field("ip"))?;
+    let octets = <[u8; 16]>::try_from(octets).map_err(|_| invalid_field("ip"))?;
     Ok(IpAddr::V6(Ipv6Addr::from(octets)))
 }
 
-fn text(reader: capnp::text::Reader<'_>) -> Result<String, CodecError> {
-    reader.to_string().map_err(|_| CodecError::NotText)
+fn read_text(reader: capnp::text::Reader<'_>) -> Result<String, CodecError> {
+    reader.to_string().map_err(|_| CodecError::NotUtf8)
 }
 
-fn bad_field(field: &str) -> CodecError {
-    CodecError::BadField {
+fn invalid_field(field: &str) -> CodecError {
+    CodecError::InvalidField {
         field: field.to_owned(),
     }
 }
 
 fn check_length(length: u32, field: &str) -> Result<(), CodecError> {
     if length > MAX_LIST_LENGTH {
-        Err(bad_field(field))
+        Err(invalid_field(field))
     } else {
         Ok(())
     }
 }
 
-fn wire_length(length: usize) -> u32 {
+fn to_wire_u32(length: usize) -> u32 {
     u32::try_from(length).expect("lists in packets are short")
 }
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        CodecError, Datagram, LifeCheck, LifeChecks, MemberPorts, MemberProbes, MemberQuestion,
-        OwnState, PacketCodec, PeerStamp, Record, SeedAddresses, Swim, SwimEvent, View,
-        codec::MAX_DATAGRAM_BYTES, packet::Liveness, swim::Outgoing,
+        CodecError, Datagram, LivenessProbe, LivenessProbes, MemberPorts, MemberProbes,
+        MemberQuestion, OwnState, PacketCodec, PeerStamp, Record, SeedAddresses, Swim, SwimEvent,
+        View, codec::MAX_DATAGRAM_BYTES, packet::Liveness, swim::Outgoing,
     },
     crate::{
         documents::Hint, event, events::Event, keys::KeyDigest, settings::Settings, timer::Timer,
@@ -24,7 +24,7 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// Time between looks at probes and queues.
+/// Period at which the protocol checks its timers and queues.
 const GOSSIP_TICK_MS: u64 = 100;
 
 /// Stamps and revocations that a slow subscriber may lag behind.
@@ -38,20 +38,20 @@
     Bind {
         /// Address from the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What gossip takes from other parts.
+/// Inputs of gossip from other modules.
 pub struct GossipInputs {
-    /// What this node tells about itself.
+    /// What this node publishes about itself.
     pub own: watch::Receiver<OwnState>,
     /// Keys that operators revoked on this node.
     pub revocations: mpsc::Receiver<Vec<KeyDigest>>,
-    /// Further addresses for the first contact.
+    /// Further seed addresses.
     pub seeds: mpsc::Receiver<SeedAddresses>,
-    /// Takes hints that members hold newer documents.
+    /// Receives hints that members hold newer documents.
     pub hints: mpsc::Sender<Hint>,
     /// Start of this process, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
@@ -64,27 +64,27 @@
     pub sent_count: AtomicU64,
     /// Bytes in them.
     pub sent_bytes: AtomicU64,
-    /// Datagrams that were not valid packets of this fleet.
+    /// Received datagrams that were not valid packets of this fleet.
     pub rejected_count: AtomicU64,
 }
 
-/// Handle of the running gossip.
+/// Handle of the running gossip task.
 #[derive(Debug, Clone)]
 pub struct Gossip {
     /// All members.
     pub view: watch::Receiver<Arc<View>>,
-    /// Replies to own probes.
+    /// Stamps from members that acknowledged this node's probes.
     pub stamps: broadcast::Sender<PeerStamp>,
-    /// Keys that other nodes revoked.
+    /// Keys that were revoked on other nodes.
     pub revoked: broadcast::Sender<Vec<KeyDigest>>,
-    /// Questions to single members.
+    /// Requests to single members.
     pub probes: MemberProbes,
     /// Traffic counters.
     pub traffic: Arc<GossipTraffic>,
 }
 
 impl Gossip {
-    /// Binds the socket and starts gossiping until `shutdown`.
+    /// Binds the socket and starts a task that gossips until `shutdown`.
     pub async fn spawn(
         settings: &Settings,
         timer: Timer,
@@ -101,7 +101,7 @@
         );
         let view = swim.take_view().expect("a new table gives a view");
         let (view_sender, view) = watch::channel(Arc::new(view));
-        let (probes, questions) = MemberProbes::new();
+        let (probes, requests) = MemberProbes::new();
         let gossip = Self {
             view,
             probes,
@@ -109,18 +109,18 @@
             revoked: broadcast::channel(CHANNEL_LENGTH).0,
             traffic: Arc::default(),
         };
-        let shell = Shell {
+        let task = GossipTask {
             socket,
             codec: PacketCodec::new(&settings.fleet_secret),
             swim,
             timer,
-            life_checks: LifeChecks::new(rand::random()),
+            liveness_probes: LivenessProbes::new(rand::random()),
             rng: StdRng::from_os_rng(),
             view: view_sender,
             gossip: gossip.clone(),
             hints: inputs.hints.clone(),
         };
-        tokio::spawn(shell.run(inputs, questions, shutdown));
+        tokio::spawn(task.run(inputs, requests, shutdown));
         Ok(gossip)
     }
 }
@@ -145,23 +145,23 @@
     }
 }
 
-struct Shell {
+struct GossipTask {
     socket: UdpSocket,
     codec: PacketCodec,
     swim: Swim,
     timer: Timer,
-    life_checks: LifeChecks,
+    liveness_probes: LivenessProbes,
     rng: StdRng,
     view: watch::Sender<Arc<View>>,
     gossip: Gossip,
     hints: mpsc::Sender<Hint>,
 }
 
-impl Shell {
+impl GossipTask {
     async fn run(
         mut self,
         mut inputs: GossipInputs,
-        mut questions: mpsc::Receiver<MemberQuestion>,
+        mut requests: mpsc::Receiver<MemberQuestion>,
         shutdown: CancellationToken,
     ) {
         let mut ticks = self.timer.subscribe(GOSSIP_TICK_MS);
@@ -182,81 +182,83 @@
                     self.swim.revoke(&digests, self.timer.now_ms(), &mut self.rng, &mut out);
                 }
                 Some(seeds) = inputs.seeds.recv() => self.swim.add_seeds(&seeds),
-                Some(question) = questions.recv() => self.ask(question, &mut out).await,
+                Some(request) = requests.recv() => self.send_request(request, &mut out).await,
                 received = self.socket.recv_from(&mut buffer) => {
-                    // A send to a closed port comes back as an error of a
-                    // later receive; it says nothing about this socket.
-                    if let Ok((length, from)) = received {
-                        self.receive(&buffer[..length], from, &mut out, &mut events).await;
+                    // A send to a closed port is reported as an error of a
+                    // later receive; it does not mean that this socket failed.
+                    if let Ok((byte_count, sender_address)) = received {
+                        self.receive(&buffer[..byte_count], sender_address, &mut out, &mut events).await;
                     }
                 }
             }
-            self.publish(&mut events);
+            self.publish_events(&mut events);
             self.send(&mut out).await;
         }
     }
 
-    async fn ask(&mut self, question: MemberQuestion, out: &mut Vec<Outgoing>) {
+    async fn send_request(&mut self, request: MemberQuestion, out: &mut Vec<Outgoing>) {
         let now_ms = self.timer.now_ms();
-        match question {
+        match request {
             MemberQuestion::Lives(node_id) => {
                 if let Some(to) = self.swim.gossip_address(&node_id) {
-                    let check = self.life_checks.ask(node_id, now_ms);
-                    self.send_life_check(check, to).await;
+                    let probe = self.liveness_probes.request(node_id, now_ms);
+                    self.send_liveness_probe(probe, to).await;
                 }
             }
-            MemberQuestion::Stamp(node_id) => self.swim.ask_stamp(&node_id, now_ms, out),
+            MemberQuestion::Stamp(node_id) => self.swim.request_stamp(&node_id, now_ms, out),
         }
     }
 
     async fn receive(
         &mut self,
         datagram: &[u8],
-        from: SocketAddr,
+        sender_address: SocketAddr,
         out: &mut Vec<Outgoing>,
         events: &mut Vec<SwimEvent>,
     ) {
         match self.codec.decode(datagram) {
-            Ok(Datagram::LifeCheck(LifeCheck::Question(number))) => {
-                self.send_life_check(LifeCheck::Answer(number), from).await;
+            Ok(Datagram::LivenessProbe(LivenessProbe::Question(number))) => {
+                self.send_liveness_probe(LivenessProbe::Answer(number), sender_address)
+                    .await;
             }
-            Ok(Datagram::LifeCheck(LifeCheck::Answer(number))) => {
-                if let Some(node_id) = self.life_checks.answered(number) {
+            Ok(Datagram::LivenessProbe(LivenessProbe::Answer(number))) => {
+                if let Some(node_id) = self.liveness_probes.record_response(number) {
                     self.gossip.probes.answered(node_id);
                 }
             }
             Ok(Datagram::Packet(packet)) => {
                 let now_ms = self.timer.now_ms();
                 self.swim
-                    .receive(&packet, from, now_ms, &mut self.rng, out, events);
+                    .receive(&packet, sender_address, now_ms, &mut self.rng, out, events);
             }
-            Err(error) => self.reject(from, &error),
+            Err(error) => self.reject(sender_address, &error),
         }
     }
 
-    fn reject(&self, from: SocketAddr, error: &CodecError) {
+    fn reject(&self, sender_address: SocketAddr, error: &CodecError) {
         self.gossip
             .traffic
             .rejected_count
             .fetch_add(1, Ordering::Relaxed);
         event!(
             Event::ContextForged,
-            "gossip datagram from {from} rejected: {error}"
+            "gossip datagram from {sender_address} rejected: {error}"
         );
     }
 
-    fn publish(&mut self, events: &mut Vec<SwimEvent>) {
+    fn publish_events(&mut self, events: &mut Vec<SwimEvent>) {
         for swim_event in events.drain(..) {
             match swim_event {
                 SwimEvent::Joined(node_id) => event!(Event::MemberJoined, "node={node_id}"),
                 SwimEvent::Suspected(node_id) => event!(Event::MemberSuspected, "node={node_id}"),
                 SwimEvent::Dead(node_id) => event!(Event::MemberDead, "node={node_id}"),
                 SwimEvent::Left(node_id) => event!(Event::MemberLeft, "node={node_id}"),
-                // Without subscribers there is nobody to tell.
+                // Sending fails if there are no subscribers.
                 SwimEvent::Stamp(stamp) => drop(self.gossip.stamps.send(stamp)),
                 SwimEvent::Revoked(digests) => drop(self.gossip.revoked.send(digests)),
-                // A hint that finds no room comes again with the next packet.
-                SwimEvent::Newer { node_id, versions } => {
+                // A hint dropped because the channel is full is repeated with
+                // the next packet.
+                SwimEvent::NewerVersions { node_id, versions } => {
                     let _ = self.hints.try_send(Hint { node_id, versions });
                 }
             }
@@ -273,8 +275,8 @@
         }
     }
 
-    async fn send_life_check(&self, check: LifeCheck, to: SocketAddr) {
-        let datagram = self.codec.encode_life_check(check);
+    async fn send_liveness_probe(&self, probe: LivenessProbe, to: SocketAddr) {
+        let datagram = self.codec.encode_liveness_probe(probe);
         self.send_datagram(&datagram, to).await;
     }
 
@@ -288,7 +290,7 @@
             .traffic
             .sent_bytes
             .fetch_add(byte_count, Ordering::Relaxed);
-        // A lost datagram is what the protocol is made for.
+        // The protocol tolerates lost datagrams.
         let _ = self.socket.send_to(datagram, to).await;
     }
 }
--- a/src/membership/joining.rs
+++ b/src/membership/joining.rs
@@ -1,7 +1,7 @@
-//! How a node finds the others when it starts.
+//! Discovery of the other members when a node starts.
 
 use {
-    super::{Liveness, Outgoing, PacketKind, Swim, news::Reach},
+    super::{Liveness, Outgoing, PacketKind, Swim, updates::Scope},
     rand::{
         Rng,
         seq::{IndexedRandom, SliceRandom},
@@ -9,60 +9,62 @@
     std::{collections::HashSet, net::SocketAddr},
 };
 
-/// Ticks in which a node that got new seeds asks for members.
-pub const JOIN_STEP_COUNT: u32 = 12;
+/// Ticks for which a node that received new seeds requests members.
+pub const JOIN_TICK_COUNT: u32 = 12;
 
-/// Unknown seeds of the own zone, and of others, that are asked in one of them.
-const NEAR_SEEDS_PER_STEP: usize = 4;
-const FAR_SEEDS_PER_STEP: usize = 1;
+/// Number of unknown seeds of the own zone, and of other zones, contacted per
+/// tick.
+const SAME_ZONE_SEEDS_PER_TICK: usize = 4;
+const OTHER_ZONE_SEEDS_PER_TICK: usize = 1;
 
-/// Addresses for the first contact.
+/// Seed addresses for the first contact.
 #[derives::value]
 #[derive(Eq, Default)]
 pub struct SeedAddresses {
     /// Members of the own availability zone.
     pub near: Vec<SocketAddr>,
-    /// Members of other zones, and those whose zone is not known.
+    /// Members of other zones and members whose zone is unknown.
     pub far: Vec<SocketAddr>,
 }
 
 impl Swim {
-    // After a loss of all processes everyone starts with an empty table. Were
-    // one seed asked a round, callers would be refused for want of targets for
-    // seconds while all targets stand idle. So several seeds are asked in each
-    // tick, and a member that is known by then, which knows more than the seeds
-    // did at first.
+    // After all processes of a fleet were lost, every node starts with an empty
+    // table. Contacting one seed per round would leave nodes without known
+    // targets for seconds, so that callers are refused while all targets are
+    // idle. Each tick therefore contacts several seeds and one known member,
+    // which by then knows more than the seeds did at first.
     pub(super) fn join<R: Rng>(&mut self, now_ms: u64, rng: &mut R, out: &mut Vec<Outgoing>) {
         let mut unknown = self.unknown_seeds();
         unknown.shuffle(rng);
-        let (mut asked, mut far): (Vec<_>, Vec<_>) = unknown
+        let (mut receivers, mut other_zone_seeds): (Vec<_>, Vec<_>) = unknown
             .into_iter()
-            .partition(|seed| self.near_seeds.contains(seed));
-        // What they answer is a whole table each, and traffic between zones is
-        // paid for; the own zone knows the others too unless all start together.
-        let has_near = !self.near_seeds.is_empty();
-        asked.truncate(NEAR_SEEDS_PER_STEP);
-        far.truncate(match has_near {
-            true => FAR_SEEDS_PER_STEP,
-            false => NEAR_SEEDS_PER_STEP,
+            .partition(|seed| self.same_zone_seeds.contains(seed));
+        // Each response is a whole table, and traffic between zones is charged.
+        // Members of the own zone know the others too unless all start
+        // together.
+        let has_same_zone_seeds = !self.same_zone_seeds.is_empty();
+        receivers.truncate(SAME_ZONE_SEEDS_PER_TICK);
+        other_zone_seeds.truncate(match has_same_zone_seeds {
+            true => OTHER_ZONE_SEEDS_PER_TICK,
+            false => SAME_ZONE_SEEDS_PER_TICK,
         });
-        asked.append(&mut far);
-        let zone = self.own.zone.clone();
-        let near = self.random_members(1, rng, |record| record.zone == zone);
-        asked.extend(match near.is_empty() {
-            true => self.random_members(1, rng, |_| true),
-            false => near,
+        receivers.append(&mut other_zone_seeds);
+        let zone = self.own_record.zone.clone();
+        let same_zone_member = self.random_addresses(1, rng, |record| record.zone == zone);
+        receivers.extend(match same_zone_member.is_empty() {
+            true => self.random_addresses(1, rng, |_| true),
+            false => same_zone_member,
         });
-        for to in asked {
-            let packet = self.packet(PacketKind::SyncRequest, 0, Reach::Far, now_ms);
+        for to in receivers {
+            let packet = self.build_packet(PacketKind::SyncRequest, 0, Scope::OtherZone, now_ms);
             out.push(Outgoing { to, packet });
         }
     }
 
-    // Nodes that start together ask different seeds first. Each group would know
-    // only its own members and take the others' slots for gone, until somebody
-    // noticed that requests find half of the targets. So every seed that is not
-    // a member yet is asked in its turn.
+    // Nodes that start together contact different seeds first. Each group would
+    // know only its own members and regard the others' slots as gone, so that
+    // requests reach only half of the targets. Every seed that is not yet a
+    // member is therefore contacted in turn.
     pub(super) fn contact_unknown_seed<R: Rng>(
         &mut self,
         now_ms: u64,
@@ -70,12 +72,12 @@
         out: &mut Vec<Outgoing>,
     ) {
         if let Some(seed) = self.unknown_seeds().choose(rng) {
-            let packet = self.packet(PacketKind::SyncRequest, 0, Reach::Far, now_ms);
+            let packet = self.build_packet(PacketKind::SyncRequest, 0, Scope::OtherZone, now_ms);
             out.push(Outgoing { to: *seed, packet });
         }
     }
 
-    /// Seeds that are not members as far as is known.
+    /// Seeds that this node does not know as members.
     fn unknown_seeds(&self) -> Vec<SocketAddr> {
         let known: HashSet<SocketAddr> = self
             .table
@@ -83,8 +85,8 @@
             .filter(|(_, entry)| entry.record.liveness <= Liveness::Suspect)
             .map(|(_, entry)| entry.record.gossip_address())
             .collect();
-        let own = self.own.gossip_address();
-        let is_unknown = |seed: &&SocketAddr| **seed != own && !known.contains(*seed);
+        let own_address = self.own_record.gossip_address();
+        let is_unknown = |seed: &&SocketAddr| **seed != own_address && !known.contains(*seed);
         self.seeds.iter().filter(is_unknown).copied().collect()
     }
 }
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,36 +1,36 @@
-//! Nodes and their targets as gossip knows them.
+//! Members of the fleet: nodes and their targets.
 
 use {
     crate::documents::Versions,
     std::net::{IpAddr, SocketAddr},
 };
 
-/// State of a member as this node knows it.
+/// State of a member in this node's view.
 #[derives::key]
 pub enum MemberState {
-    /// Answers probes.
+    /// Responds to probes.
     Alive,
-    /// Does not answer; may refute with a higher incarnation.
+    /// Does not respond to probes; may refute with a higher incarnation.
     Suspect,
-    /// Takes no new work and will leave.
+    /// Accepts no new requests and will leave.
     Draining,
     /// Left after draining.
     Left,
-    /// Was suspected and did not refute.
+    /// Was suspected and did not refute in time.
     Dead,
 }
 
-/// What a target told its node about itself.
+/// What a target announced to its node about itself.
 #[derives::value]
 #[derive(Eq, Hash)]
 pub struct Announcement {
-    /// Service that it serves.
+    /// Name of its service.
     pub service: String,
-    /// Requests that it can work on at a time.
+    /// Maximum number of concurrent requests.
     pub slot_count: u32,
-    /// Connections that it accepts.
+    /// Maximum number of connections that it accepts.
     pub connection_count: u32,
-    /// It asked for no new work.
+    /// It requested to receive no new requests.
     pub draining: bool,
 }
 
@@ -42,9 +42,9 @@
     pub peer: u16,
     /// Gossip, UDP.
     pub gossip: u16,
-    /// Bank and relay calls.
+    /// RPC to token pools and relays.
     pub rpc: u16,
-    /// Operators.
+    /// Control requests of operators.
     pub control: u16,
 }
 
@@ -62,20 +62,21 @@
     pub region: String,
     /// Availability zone of its instance.
     pub zone: String,
-    /// Start of the process, in milliseconds since the Unix epoch; tells a
-    /// restart in place from a refutation.
+    /// Start of the process, in milliseconds since the Unix epoch;
+    /// distinguishes a restart in the same slot from a refutation.
     pub started_unix_ms: u64,
     /// Raised by the member itself to refute a suspicion.
     pub incarnation: u32,
-    /// State as this node knows it.
+    /// State in this node's view.
     pub state: MemberState,
-    /// Its target, once it announced itself.
+    /// Its target, once the target has announced itself.
     pub target: Option<Announcement>,
 }
 
 impl Member {
-    /// Whether work may be sent to it: alive or merely suspected. A suspicion
-    /// alone ejects nobody, since one lost datagram can raise it.
+    /// Whether requests may be sent to it: alive or merely suspected. A
+    /// suspicion alone excludes no member, since a single lost datagram can
+    /// cause it.
     #[must_use]
     pub const fn is_usable(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
@@ -93,7 +94,7 @@
         SocketAddr::new(self.ip, self.ports.gossip)
     }
 
-    /// Address for bank and relay calls.
+    /// Address for RPC to token pools and relays.
     #[must_use]
     pub const fn rpc_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.ports.rpc)
@@ -104,12 +105,12 @@
 #[derives::value]
 #[derive(Eq, Default)]
 pub struct View {
-    /// Members in every state except those long gone.
+    /// Members in every state, except those whose tombstone has expired.
     pub members: Vec<Member>,
 }
 
 impl View {
-    /// The member of this name.
+    /// The member with this node id.
     #[must_use]
     pub fn member(&self, node_id: &str) -> Option<&Member> {
         let index = self
@@ -119,43 +120,44 @@
     }
 }
 
-/// What this node tells others about itself through gossip.
+/// What this node publishes about itself through gossip.
 #[derives::value]
 #[derive(Eq, Default)]
 pub struct OwnState {
-    /// Its target, once it announced itself.
+    /// Its target, once the target has announced itself.
     pub target: Option<Announcement>,
-    /// It takes no new work.
+    /// It accepts no new requests.
     pub draining: bool,
-    /// It is about to exit; told so that nobody has to suspect it.
+    /// It is about to exit; published so that no member has to suspect it.
     pub left: bool,
     /// Versions of the documents that it holds.
     pub versions: Versions,
-    /// Age of its last confirmed look at the platform, if it had one, as a
-    /// point on its own monotonic clock in milliseconds.
+    /// Time of its last confirmed poll of the platform, if any, in milliseconds
+    /// on its own monotonic clock.
     pub platform_seen_ms: Option<u64>,
     /// Its calls to the documents' origin fail.
     pub is_origin_failing: bool,
 }
 
-/// What a member told in reply to a probe of this node.
+/// Status that a member reported in its ack to a probe of this node.
 ///
-/// Replies to own probes only: a node that can hear others but is not heard
-/// by them gets none, and so notices that it is cut off.
+/// Only acks to this node's own probes yield one. A node that receives
+/// datagrams but whose own datagrams are lost gets none, and so detects that it
+/// is cut off.
 #[derives::value]
 #[derive(Eq)]
 pub struct PeerStamp {
-    /// The member that replied.
+    /// Node id of the member.
     pub node_id: String,
     /// Its availability zone.
     pub zone: String,
     /// Versions of the documents that it holds.
     pub versions: Versions,
-    /// Its last confirmed look at the platform, on this node's monotonic
-    /// clock, counted back from when the probe was sent.
+    /// Its last confirmed poll of the platform, in milliseconds on this node's
+    /// monotonic clock, computed back from when the probe was sent.
     pub platform_seen_ms: Option<u64>,
     /// Its calls to the documents' origin fail.
     pub is_origin_failing: bool,
-    /// When this node sent the probe.
+    /// When this node sent the probe, in milliseconds on its monotonic clock.
     pub probe_sent_ms: u64,
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,28 +1,29 @@
-//! Which nodes and targets there are: SWIM-like gossip over UDP.
+//! Fleet membership: which nodes and targets exist, by SWIM-like gossip over
+//! UDP.
 //!
-//! `Swim` is the protocol without I/O and clock, `Gossip` the shell that owns
-//! the socket.
+//! `Swim` is the protocol as pure state: it performs no I/O and reads no clock.
+//! `Gossip` owns the socket and drives it.
 
 mod codec;
+mod dissemination;
 mod gossip;
 mod joining;
-mod life_check;
+mod liveness_probe;
 mod member;
-mod news;
 mod packet;
 mod probes;
 mod probing;
 mod relays;
 mod seeds;
-mod spreading;
 mod swim;
 mod table;
+mod updates;
 
 pub use {
     codec::{CodecError, Datagram, PacketCodec},
     gossip::{Gossip, GossipError, GossipInputs, GossipTraffic},
     joining::SeedAddresses,
-    life_check::{LifeCheck, LifeChecks},
+    liveness_probe::{LivenessProbe, LivenessProbes},
     member::{Announcement, Member, MemberPorts, MemberState, OwnState, PeerStamp, View},
     packet::{Liveness, Packet, PacketKind, Record},
     probes::{MemberProbes, MemberQuestion},
--- a/src/membership/packet.rs
+++ b/src/membership/packet.rs
@@ -6,21 +6,21 @@
     std::net::{IpAddr, SocketAddr},
 };
 
-/// Whether a member answers, apart from whether it drains.
+/// Whether a member responds, independent of whether it drains.
 #[derives::key]
 pub enum Liveness {
-    /// Answers probes.
+    /// Responds to probes.
     Alive = 0,
-    /// Did not answer and has not refuted yet.
+    /// Did not respond and has not refuted yet.
     Suspect = 1,
     /// Was suspected and did not refute in time.
     Dead = 2,
-    /// Said itself that it leaves.
+    /// Announced its own departure.
     Left = 3,
 }
 
 impl Liveness {
-    /// The liveness with this code on the wire.
+    /// The liveness with this code on the wire, if the code is known.
     #[must_use]
     pub const fn from_code(code: u8) -> Option<Self> {
         match code {
@@ -33,7 +33,7 @@
     }
 }
 
-/// What gossip carries about a member.
+/// What gossip propagates about a member.
 #[derives::value]
 #[derive(Eq, Hash)]
 pub struct Record {
@@ -51,11 +51,11 @@
     pub started_unix_ms: u64,
     /// Raised by the member with every change of its own record.
     pub incarnation: u32,
-    /// Whether it answers.
+    /// Whether it responds to probes.
     pub liveness: Liveness,
-    /// It takes no new work.
+    /// It accepts no new requests.
     pub draining: bool,
-    /// Its target, once it announced itself.
+    /// Its target, once the target has announced itself.
     pub target: Option<Announcement>,
 }
 
@@ -66,18 +66,18 @@
         SocketAddr::new(self.ip, self.ports.gossip)
     }
 
-    /// Whether this record is news compared to `other`, of the same member.
+    /// Whether this record replaces `other`, of the same member.
     ///
-    /// A later process beats an earlier one, then the higher incarnation,
-    /// then the worse liveness: a suspicion beats the life that it doubts,
-    /// and only the member itself can refute it, by a higher incarnation.
+    /// A later process start wins, then the higher incarnation, then the worse
+    /// liveness: a suspicion replaces the alive record that it concerns, and
+    /// only the member itself can refute it, with a higher incarnation.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         let rank = |record: &Self| (record.started_unix_ms, record.incarnation, record.liveness);
         rank(self) > rank(other)
     }
 
-    /// The member as other parts see it.
+    /// The member in the form that other modules use.
     #[must_use]
     pub fn to_member(&self) -> Member {
         let state = match self.liveness {
@@ -101,27 +101,28 @@
     }
 }
 
-/// What a packet asks for or answers.
+/// What a packet requests or responds to.
 #[derives::value]
 #[derive(Eq)]
 pub enum PacketKind {
-    /// Asks for an ack.
+    /// Requests an ack.
     Ping,
-    /// Answers a ping with the same sequence.
+    /// Responds to the ping with the same sequence.
     Ack,
-    /// Asks the receiver to probe another member on the sender's behalf.
+    /// Requests that the receiver probe another member for the sender.
     PingRequest {
         /// Node id of the member to probe.
         subject: String,
     },
-    /// Tells that the probed member answered; the sequence of the request.
+    /// Reports that the probed member responded; has the sequence of the ping
+    /// request.
     IndirectAck,
-    /// Asks for all records.
+    /// Requests all records.
     SyncRequest,
-    /// Some of all records.
+    /// Some of the records that a sync request returns.
     SyncPart,
-    /// Carries news; nothing is answered.
-    News,
+    /// Carries updates; needs no response.
+    Updates,
 }
 
 /// One datagram.
@@ -130,20 +131,21 @@
 pub struct Packet {
     /// The sender's own record.
     pub sender: Record,
-    /// Pairs probes with replies.
+    /// Matches probes with their responses.
     pub sequence: u64,
-    /// What it asks for or answers.
+    /// What it requests or responds to.
     pub kind: PacketKind,
-    /// Documents that the sender holds.
+    /// Versions of the documents that the sender holds.
     pub versions: Versions,
-    /// Age of the sender's last confirmed look at the platform.
+    /// Age of the sender's last confirmed poll of the platform, if any, in
+    /// milliseconds.
     pub platform_age_ms: Option<u64>,
-    /// Calls of the sender to the documents' origin fail.
+    /// The sender's calls to the documents' origin fail.
     pub is_origin_failing: bool,
-    /// Sum of the hashes of the sender's records.
+    /// Sum of the hashes of the sender's records; equal tables have equal sums.
     pub table_hash: u64,
-    /// News about other members.
+    /// Updates about other members.
     pub updates: Vec<Record>,
-    /// News about revoked keys.
+    /// Digests of revoked keys.
     pub revocations: Vec<KeyDigest>,
 }
--- a/src/membership/probes.rs
+++ b/src/membership/probes.rs
@@ -1,61 +1,69 @@
-//! Questions to single members, apart from gossip's rounds.
+//! Requests to single members, outside gossip's regular rounds.
 
 use tokio::sync::{broadcast, mpsc};
 
-/// Questions that wait for gossip, and answers that wait for a subscriber.
+/// Requests queued for gossip, and responses queued for each subscriber.
 const CHANNEL_LENGTH: usize = 256;
 
-/// A question to the member of this name.
+/// A request to the member with this node id.
 #[derives::value]
 #[derive(Eq)]
 pub enum MemberQuestion {
-    /// Whether it lives.
+    /// Checks whether it is alive.
     Lives(String),
-    /// What it holds and when the documents' origin was last looked at; it
-    /// replies with a stamp.
+    /// Requests a `PeerStamp`: the documents that it holds and when their
+    /// origin was last polled.
     Stamp(String),
 }
 
-/// Asks members and tells who answered; clones share both.
+/// Sends requests to members and publishes which ones responded; clones share
+/// both channels.
 #[derive(Debug, Clone)]
 pub struct MemberProbes {
-    asked: mpsc::Sender<MemberQuestion>,
-    answered: broadcast::Sender<String>,
+    requests: mpsc::Sender<MemberQuestion>,
+    responses: broadcast::Sender<String>,
 }
 
 impl MemberProbes {
-    /// Probes, and the questions that gossip has to send.
+    /// Creates the probes and the receiver of the requests that gossip has to
+    /// send.
     #[must_use]
     pub fn new() -> (Self, mpsc::Receiver<MemberQuestion>) {
-        let (asked, questions) = mpsc::channel(CHANNEL_LENGTH);
-        let answered = broadcast::channel(CHANNEL_LENGTH).0;
-        (Self { asked, answered }, questions)
+        let (requests, request_receiver) = mpsc::channel(CHANNEL_LENGTH);
+        let responses = broadcast::channel(CHANNEL_LENGTH).0;
+        (
+            Self {
+                requests,
+                responses,
+            },
+            request_receiver,
+        )
     }
 
-    /// Asks whether a member lives. A question that finds no room is left out;
-    /// the next one follows soon.
+    /// Checks whether a member is alive. A request that exceeds the queue is
+    /// dropped, since the next one follows soon.
     pub fn ask(&self, node_id: &str) {
         let _ = self
-            .asked
+            .requests
             .try_send(MemberQuestion::Lives(node_id.to_owned()));
     }
 
-    /// Asks a member for a stamp; as above.
+    /// Requests a stamp from a member; dropped likewise if the queue is full.
     pub fn ask_stamp(&self, node_id: &str) {
         let _ = self
-            .asked
+            .requests
             .try_send(MemberQuestion::Stamp(node_id.to_owned()));
     }
 
-    /// Members that answer from now on.
+    /// Subscribes to the node ids of members that respond from now on.
     #[must_use]
     pub fn answers(&self) -> broadcast::Receiver<String> {
-        self.answered.subscribe()
+        self.responses.subscribe()
     }
 
-    /// A member answered.
+    /// Publishes that a member responded.
     pub fn answered(&self, node_id: String) {
-        // Without subscribers there is nobody to tell.
-        let _ = self.answered.send(node_id);
+        // Sending fails if there are no subscribers.
+        let _ = self.responses.send(node_id);
     }
 }
--- a/src/membership/relays.rs
+++ b/src/membership/relays.rs
@@ -1,17 +1,17 @@
-//! Which members look at the platform for their availability zone.
+//! Selects the members that poll the platform for their availability zone.
 
 use {
     super::{Member, MemberState, View},
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Relays of each availability zone; two, so that one may fail.
+/// Relays per availability zone; two, so that one may fail.
 pub const RELAY_COUNT: usize = 2;
 
-/// Relays of this availability zone, by rendezvous hashing of the node ids.
+/// Relays of an availability zone, by rendezvous hashing of the node ids.
 ///
-/// All nodes with the same view choose the same ones. With different views
-/// there may be more at a time, which costs some calls and harms nothing.
+/// All nodes with the same view select the same relays. While views differ
+/// there may be more, which costs some calls and is harmless.
 #[must_use]
 pub fn relays<'a>(view: &'a View, zone: &str) -> Vec<&'a Member> {
     let mut candidates: Vec<&Member> = view
@@ -24,9 +24,10 @@
     candidates
 }
 
-/// Rank of a member among the relays of its availability zone, 0 first.
+/// Rank of a member among the relays of its availability zone, starting at 0;
+/// `None` if it is not a relay.
 ///
-/// A node that its own view does not hold (yet) looks by itself.
+/// A node that is not in its own view yet has rank 0 and polls by itself.
 #[must_use]
 pub fn relay_rank(view: &View, zone: &str, node_id: &str) -> Option<usize> {
     if view.member(node_id).is_none() {
--- a/src/membership/seeds.rs
+++ b/src/membership/seeds.rs
@@ -1,18 +1,18 @@
-//! Addresses for the first contact that a zone leaves in the object store.
+//! Seed addresses that each zone publishes in the object store.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
-/// Addresses kept for each zone.
+/// Maximum number of addresses stored per zone.
 const ADDRESSES_PER_ZONE: usize = 4;
-/// How long a process must have run before it may change what others wrote.
-/// Gossip meets a fleet of hundreds within a few seconds.
+/// Minimum uptime before a process may replace a record that others wrote.
+/// Gossip discovers a fleet of hundreds of nodes within a few seconds.
 const SETTLED_MS: u64 = 5000;
 
-/// What one zone leaves for nodes that start.
+/// Seeds that one zone publishes for nodes that start.
 #[derives::record]
 #[derive(Eq, Default)]
 pub struct SeedsRecord {
-    /// Nodes of the zone when it was written.
+    /// Number of nodes in the zone when the record was written.
     #[serde(default)]
     pub member_count: usize,
     /// Gossip addresses of some of them.
@@ -20,20 +20,20 @@
 }
 
 impl SeedsRecord {
-    /// The record to write, if what is held should be replaced.
+    /// The record to write, or `None` if the stored one should stay.
     ///
     /// `present` are the zone's nodes as the writer knows them. A node that has
-    /// just started knows only itself: were it to write that, the others that
-    /// start with it would not find each other, and each would take the
-    /// quotas of the fleet for its own.
+    /// just started knows only itself. If it stored that, nodes starting at the
+    /// same time would not find each other, and each would claim the quotas of
+    /// the whole fleet.
     #[must_use]
     pub fn revised(
-        held: Option<&Self>,
+        stored: Option<&Self>,
         present: &BTreeSet<SocketAddr>,
         uptime_ms: u64,
     ) -> Option<Self> {
-        let is_right = held.is_some_and(|held| held.describes(present));
-        if is_right || (held.is_some() && uptime_ms < SETTLED_MS) {
+        let is_current = stored.is_some_and(|stored| stored.describes(present));
+        if is_current || (stored.is_some() && uptime_ms < SETTLED_MS) {
             return None;
         }
         Some(Self {
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -1,12 +1,13 @@
-//! Failure detection and spreading of news, without I/O and clock.
+//! Failure detection and dissemination of membership updates. Pure state:
+//! performs no I/O and reads no clock.
 
 use {
     super::{
         Liveness, OwnState, Packet, PacketKind, PeerStamp, Record, View,
-        joining::{JOIN_STEP_COUNT, SeedAddresses},
-        news::Reach,
+        joining::{JOIN_TICK_COUNT, SeedAddresses},
         probing::PROBE_PERIOD_MS,
         table::{MemberKey, MemberTable, Merge},
+        updates::Scope,
     },
     crate::{documents::Versions, keys::KeyDigest},
     rand::Rng,
@@ -16,38 +17,38 @@
     },
 };
 
-/// Parts of synchronisations that are sent at most between two ticks. A fleet
-/// that starts as a whole asks a few members for their tables.
-const PARTS_PER_TICK: usize = 16;
+/// Maximum number of sync parts sent between two ticks. When a whole fleet
+/// starts, many nodes request the tables of a few members.
+const SYNC_PARTS_PER_TICK: usize = 16;
 
-/// A packet for the socket.
+/// A packet to send.
 #[derives::value]
 pub struct Outgoing {
-    /// Where it goes.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// What it says.
+    /// The packet.
     pub packet: Packet,
 }
 
-/// What the shell tells other parts.
+/// What the protocol reports to other modules.
 #[derives::value]
 #[derive(Eq)]
 pub enum SwimEvent {
-    /// A member appeared or came back.
+    /// A member appeared or returned.
     Joined(String),
-    /// A member does not answer.
+    /// A member is suspected: it does not respond.
     Suspected(String),
-    /// A member is taken for dead.
+    /// A member was declared dead.
     Dead(String),
     /// A member left.
     Left(String),
-    /// A member replied to a probe.
+    /// A member acknowledged a probe of this node.
     Stamp(PeerStamp),
-    /// Keys that another node revoked.
+    /// Keys that were revoked on another node.
     Revoked(Vec<KeyDigest>),
-    /// A member holds documents of higher versions than this node.
-    Newer {
-        /// The member.
+    /// A member holds documents with higher versions than this node.
+    NewerVersions {
+        /// Node id of the member.
         node_id: String,
         /// Versions that it holds.
         versions: Versions,
@@ -57,121 +58,126 @@
 /// Why a probe was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProbeCause {
-    /// The node's own rounds and news.
-    Own,
-    /// A probe of the same availability zone got no ack in time.
-    Repeat,
+    /// A probe round or notification of this node; without an ack the member is
+    /// suspected.
+    Regular,
+    /// Another probe of the same availability zone was not acknowledged in
+    /// time.
+    ZoneRetry,
     /// The member is suspected; its ack refutes the suspicion.
-    Doubt,
-    /// Another part of the node asked for a stamp.
-    Question,
-    /// Another member asked for it, with this sequence.
-    OnBehalf { origin: SocketAddr, sequence: u64 },
+    SuspicionCheck,
+    /// Another module requested a stamp.
+    StampRequest,
+    /// Another member requested it with a ping request of this sequence.
+    Indirect {
+        requester: SocketAddr,
+        sequence: u64,
+    },
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct Probe {
     pub(super) sent_ms: u64,
     pub(super) subject: MemberKey,
-    pub(super) asked_others: bool,
+    pub(super) indirect_requested: bool,
     pub(super) cause: ProbeCause,
 }
 
-/// The protocol of one node.
+/// Protocol state of one node.
 #[derive(Debug)]
 pub struct Swim {
-    pub(super) own: Record,
-    pub(super) state: OwnState,
+    pub(super) own_record: Record,
+    pub(super) own_state: OwnState,
     pub(super) table: MemberTable,
     pub(super) seeds: Vec<SocketAddr>,
-    /// Those of the own zone.
-    pub(super) near_seeds: BTreeSet<SocketAddr>,
+    /// Seeds in the own availability zone.
+    pub(super) same_zone_seeds: BTreeSet<SocketAddr>,
     pub(super) probes: BTreeMap<u64, Probe>,
     pub(super) next_sequence: u64,
     pub(super) round: u64,
     pub(super) next_round_ms: u64,
-    pub(super) synced_ms: Option<u64>,
-    /// Since when acks have shown another table than the own one.
-    pub(super) differs_since_ms: Option<u64>,
-    /// Keys revoked so far, in order of arrival, with the sends left.
+    pub(super) last_sync_request_ms: Option<u64>,
+    /// When acks began to show a table hash other than this node's; `None`
+    /// while the hashes are equal.
+    pub(super) tables_differ_since_ms: Option<u64>,
+    /// Keys revoked so far, in order of arrival, with the remaining sends.
     pub(super) revocations: Vec<(KeyDigest, u32)>,
-    /// Parts of a synchronisation that wait for their turn.
-    pub(super) parts: Vec<Outgoing>,
-    /// Parts that may still be sent before the next tick.
-    parts_left: usize,
-    /// Steps left in which this node joins a fleet.
-    pub(super) join_steps_left: u32,
+    /// Queued sync parts.
+    pub(super) sync_parts: Vec<Outgoing>,
+    /// Sync parts that may still be sent before the next tick.
+    sync_parts_left: usize,
+    /// Remaining ticks in which this node requests members from seeds.
+    pub(super) join_ticks_left: u32,
 }
 
 impl Swim {
-    /// The protocol of the node with this record.
+    /// Creates the protocol state of the node with this record.
     #[must_use]
-    pub fn new(own: Record, seeds: Vec<SocketAddr>) -> Self {
-        let table = MemberTable::new(&own);
+    pub fn new(own_record: Record, seeds: Vec<SocketAddr>) -> Self {
+        let table = MemberTable::new(&own_record);
         Self {
-            own,
-            state: OwnState::default(),
+            own_record,
+            own_state: OwnState::default(),
             table,
             seeds,
-            near_seeds: BTreeSet::new(),
+            same_zone_seeds: BTreeSet::new(),
             probes: BTreeMap::new(),
             next_sequence: 1,
             round: 0,
             next_round_ms: 0,
-            synced_ms: None,
-            differs_since_ms: None,
+            last_sync_request_ms: None,
+            tables_differ_since_ms: None,
             revocations: Vec::new(),
-            parts: Vec::new(),
-            parts_left: PARTS_PER_TICK,
-            join_steps_left: 0,
+            sync_parts: Vec::new(),
+            sync_parts_left: SYNC_PARTS_PER_TICK,
+            join_ticks_left: 0,
         }
     }
 
-    /// Adds addresses for the first contact; those that are new are asked from
-    /// the next tick on.
+    /// Adds seed addresses; new ones are contacted from the next tick on.
     pub fn add_seeds(&mut self, seeds: &SeedAddresses) {
-        self.near_seeds.extend(&seeds.near);
+        self.same_zone_seeds.extend(&seeds.near);
         for seed in seeds.near.iter().chain(&seeds.far) {
-            if !self.seeds.contains(seed) && *seed != self.own.gossip_address() {
+            if !self.seeds.contains(seed) && *seed != self.own_record.gossip_address() {
                 self.seeds.push(*seed);
-                self.join_steps_left = JOIN_STEP_COUNT;
+                self.join_ticks_left = JOIN_TICK_COUNT;
             }
         }
     }
 
-    /// Takes over what this node says about itself. Higher versions are told
-    /// to a few members at once.
+    /// Sets what this node publishes about itself. A changed record or version
+    /// is sent to a few members at once.
     pub fn set_own_state<R: Rng>(
         &mut self,
-        state: OwnState,
+        own_state: OwnState,
         now_ms: u64,
         rng: &mut R,
         out: &mut Vec<Outgoing>,
     ) {
-        let has_newer_document = state.versions != self.state.versions;
-        let liveness = if state.left {
+        let versions_changed = own_state.versions != self.own_state.versions;
+        let liveness = if own_state.left {
             Liveness::Left
         } else {
             Liveness::Alive
         };
-        let draining = state.draining || state.target.as_ref().is_some_and(|t| t.draining);
-        let record_changed = self.own.target != state.target
-            || self.own.draining != draining
-            || self.own.liveness != liveness;
-        self.state = state;
+        let draining = own_state.draining || own_state.target.as_ref().is_some_and(|t| t.draining);
+        let record_changed = self.own_record.target != own_state.target
+            || self.own_record.draining != draining
+            || self.own_record.liveness != liveness;
+        self.own_state = own_state;
         if record_changed {
-            self.own.target.clone_from(&self.state.target);
-            self.own.draining = draining;
-            self.own.liveness = liveness;
-            self.own.incarnation += 1;
-            self.table.mark_changed();
+            self.own_record.target.clone_from(&self.own_state.target);
+            self.own_record.draining = draining;
+            self.own_record.liveness = liveness;
+            self.own_record.incarnation += 1;
+            self.table.mark_view_outdated();
         }
-        if record_changed || has_newer_document {
-            self.tell_some(now_ms, rng, out);
+        if record_changed || versions_changed {
+            self.notify_random_members(now_ms, rng, out);
         }
     }
 
-    /// Spreads revocations that this node learnt from an operator.
+    /// Disseminates revocations that an operator requested on this node.
     pub fn revoke<R: Rng>(
         &mut self,
         digests: &[KeyDigest],
@@ -180,23 +186,24 @@
         out: &mut Vec<Outgoing>,
     ) {
         if !self.add_revocations(digests).is_empty() {
-            self.tell_some(now_ms, rng, out);
+            self.notify_random_members(now_ms, rng, out);
         }
     }
 
-    /// Where gossip reaches a member.
+    /// Gossip address of a member, if it is known.
     #[must_use]
     pub fn gossip_address(&self, node_id: &str) -> Option<SocketAddr> {
         let entry = self.table.get(self.table.key(node_id)?)?;
         Some(entry.record.gossip_address())
     }
 
-    /// The members if anything changed since the last call.
+    /// The view of all members if anything changed since the last call.
     pub fn take_view(&mut self) -> Option<View> {
-        self.table.take_view(&self.own)
+        self.table.take_view(&self.own_record)
     }
 
-    /// Regular work: probes, time outs, pieces of synchronisations.
+    /// Periodic work: sends probes, expires them, and sends queued updates and
+    /// sync parts.
     pub fn tick<R: Rng>(
         &mut self,
         now_ms: u64,
@@ -206,12 +213,12 @@
     ) {
         self.expire_probes(now_ms, rng, out, events);
         events.extend(self.table.tick(now_ms).into_iter().map(SwimEvent::Dead));
-        self.ask_suspects(now_ms, out);
-        self.parts_left = PARTS_PER_TICK;
-        self.send_parts(out);
-        self.spread_fresh_news(now_ms, rng, out);
-        if self.join_steps_left > 0 {
-            self.join_steps_left -= 1;
+        self.ping_suspects(now_ms, out);
+        self.sync_parts_left = SYNC_PARTS_PER_TICK;
+        self.send_sync_parts(out);
+        self.send_urgent_updates(now_ms, rng, out);
+        if self.join_ticks_left > 0 {
+            self.join_ticks_left -= 1;
             self.join(now_ms, rng, out);
         }
         if now_ms >= self.next_round_ms {
@@ -221,43 +228,43 @@
         }
     }
 
-    /// Takes in a packet that came from `from`.
+    /// Processes a packet received from this address.
     pub fn receive<R: Rng>(
         &mut self,
         packet: &Packet,
-        from: SocketAddr,
+        sender_address: SocketAddr,
         now_ms: u64,
         rng: &mut R,
         out: &mut Vec<Outgoing>,
         events: &mut Vec<SwimEvent>,
     ) {
-        if packet.sender.node_id == self.own.node_id {
+        if packet.sender.node_id == self.own_record.node_id {
             return;
         }
         let is_sync = packet.kind == PacketKind::SyncPart;
-        self.merge(&packet.sender, false, now_ms, events);
+        self.merge_record(&packet.sender, false, now_ms, events);
         for update in &packet.updates {
-            self.merge(update, is_sync, now_ms, events);
+            self.merge_record(update, is_sync, now_ms, events);
         }
         let new_revocations = self.add_revocations(&packet.revocations);
         if !new_revocations.is_empty() {
             events.push(SwimEvent::Revoked(new_revocations));
-            self.tell_some(now_ms, rng, out);
+            self.notify_random_members(now_ms, rng, out);
         }
-        if packet.versions.exceed(&self.state.versions) {
+        if packet.versions.exceed(&self.own_state.versions) {
             let node_id = packet.sender.node_id.clone();
-            events.push(SwimEvent::Newer {
+            events.push(SwimEvent::NewerVersions {
                 node_id,
                 versions: packet.versions,
             });
         }
-        self.answer(packet, from, now_ms, rng, out, events);
+        self.respond(packet, sender_address, now_ms, rng, out, events);
     }
 
-    fn answer<R: Rng>(
+    fn respond<R: Rng>(
         &mut self,
         packet: &Packet,
-        from: SocketAddr,
+        sender_address: SocketAddr,
         now_ms: u64,
         rng: &mut R,
         out: &mut Vec<Outgoing>,
@@ -265,42 +272,42 @@
     ) {
         match &packet.kind {
             PacketKind::Ping => {
-                let reach = self.table.reach(&packet.sender.zone);
-                let mut ack = self.packet(PacketKind::Ack, packet.sequence, reach, now_ms);
-                self.remind(&mut ack, &packet.sender.node_id);
+                let scope = self.table.scope_of(&packet.sender.zone);
+                let mut ack = self.build_packet(PacketKind::Ack, packet.sequence, scope, now_ms);
+                self.attach_suspicion(&mut ack, &packet.sender.node_id);
                 out.push(Outgoing {
-                    to: from,
+                    to: sender_address,
                     packet: ack,
                 });
             }
-            PacketKind::Ack => self.acked(packet, now_ms, out, events),
+            PacketKind::Ack => self.process_ack(packet, now_ms, out, events),
             PacketKind::IndirectAck => {
                 self.probes.remove(&packet.sequence);
             }
             PacketKind::PingRequest { subject } => {
                 if let Some(key) = self.table.key(subject) {
-                    let cause = ProbeCause::OnBehalf {
-                        origin: from,
+                    let cause = ProbeCause::Indirect {
+                        requester: sender_address,
                         sequence: packet.sequence,
                     };
                     self.ping(key, cause, now_ms, out);
                 }
             }
             PacketKind::SyncRequest => {
-                self.queue_parts(from, now_ms, rng);
-                self.send_parts(out);
+                self.queue_sync_parts(sender_address, now_ms, rng);
+                self.send_sync_parts(out);
             }
-            PacketKind::SyncPart | PacketKind::News => {}
+            PacketKind::SyncPart | PacketKind::Updates => {}
         }
     }
 
-    fn send_parts(&mut self, out: &mut Vec<Outgoing>) {
-        let part_count = self.parts.len().min(self.parts_left);
-        self.parts_left -= part_count;
-        out.extend(self.parts.drain(..part_count));
+    fn send_sync_parts(&mut self, out: &mut Vec<Outgoing>) {
+        let sent_part_count = self.sync_parts.len().min(self.sync_parts_left);
+        self.sync_parts_left -= sent_part_count;
+        out.extend(self.sync_parts.drain(..sent_part_count));
     }
 
-    fn acked(
+    fn process_ack(
         &mut self,
         packet: &Packet,
         now_ms: u64,
@@ -310,16 +317,21 @@
         let Some(probe) = self.probes.remove(&packet.sequence) else {
             return;
         };
-        if let ProbeCause::OnBehalf { origin, sequence } = probe.cause {
-            let ack = self.packet(PacketKind::IndirectAck, sequence, Reach::Far, now_ms);
+        if let ProbeCause::Indirect {
+            requester,
+            sequence,
+        } = probe.cause
+        {
+            let ack =
+                self.build_packet(PacketKind::IndirectAck, sequence, Scope::OtherZone, now_ms);
             out.push(Outgoing {
-                to: origin,
+                to: requester,
                 packet: ack,
             });
         }
-        // The age was right when the member replied, at some point after the
-        // probe was sent. Counting it from the sending makes the stamp older
-        // than it is, never younger, however long the reply was under way.
+        // The age was correct when the member replied, which was after the
+        // probe was sent. Computing it back from the send time makes the poll
+        // look older than it is, never younger, however long the reply took.
         let platform_seen_ms = packet
             .platform_age_ms
             .and_then(|age_ms| probe.sent_ms.checked_sub(age_ms));
@@ -334,47 +346,48 @@
         self.sync_if_different(packet, now_ms, out);
     }
 
-    fn merge(
+    fn merge_record(
         &mut self,
         record: &Record,
         is_synced: bool,
         now_ms: u64,
         events: &mut Vec<SwimEvent>,
     ) {
-        if record.node_id == self.own.node_id {
+        if record.node_id == self.own_record.node_id {
             self.refute(record);
             return;
         }
         let node_id = record.node_id.clone();
-        let merged = match is_synced {
+        let result = match is_synced {
             true => self.table.merge_synced(record, now_ms),
             false => self.table.merge(record, now_ms),
         };
-        match merged {
+        match result {
             Merge::Joined => events.push(SwimEvent::Joined(node_id)),
-            Merge::Became(Liveness::Suspect) => events.push(SwimEvent::Suspected(node_id)),
-            Merge::Became(Liveness::Dead) => events.push(SwimEvent::Dead(node_id)),
-            Merge::Became(Liveness::Left) => events.push(SwimEvent::Left(node_id)),
-            Merge::Known | Merge::Updated | Merge::Became(Liveness::Alive) => {}
+            Merge::LivenessChanged(Liveness::Suspect) => events.push(SwimEvent::Suspected(node_id)),
+            Merge::LivenessChanged(Liveness::Dead) => events.push(SwimEvent::Dead(node_id)),
+            Merge::LivenessChanged(Liveness::Left) => events.push(SwimEvent::Left(node_id)),
+            Merge::Unchanged | Merge::Updated | Merge::LivenessChanged(Liveness::Alive) => {}
         }
     }
 
-    // A node that was cut off or paused is suspected while it lives. If it
-    // kept silent it would get no work until it is restarted; with a higher
-    // incarnation its own word beats the suspicion everywhere.
+    // A node that was cut off or paused is suspected while it is alive. Without
+    // a refutation it would receive no requests until it is restarted. Its
+    // record with a higher incarnation replaces the suspicion on all nodes.
     fn refute(&mut self, record: &Record) {
-        // The clock was set back since the process before this one started. Its
-        // record would beat all that this one tells of itself until the clock
-        // has caught up, and the target would get no work.
-        if record.started_unix_ms > self.own.started_unix_ms {
-            self.own.started_unix_ms = record.started_unix_ms + 1;
-            self.table.mark_changed();
+        // The clock was set back since the previous process started. The
+        // previous process's record would replace every record of this one
+        // until the clock has caught up, and the target would receive no
+        // requests.
+        if record.started_unix_ms > self.own_record.started_unix_ms {
+            self.own_record.started_unix_ms = record.started_unix_ms + 1;
+            self.table.mark_view_outdated();
             return;
         }
-        let is_about_this_process = record.started_unix_ms == self.own.started_unix_ms;
-        if is_about_this_process && record.supersedes(&self.own) {
-            self.own.incarnation = record.incarnation + 1;
-            self.table.mark_changed();
+        let is_about_this_process = record.started_unix_ms == self.own_record.started_unix_ms;
+        if is_about_this_process && record.supersedes(&self.own_record) {
+            self.own_record.incarnation = record.incarnation + 1;
+            self.table.mark_view_outdated();
         }
     }
 }
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -1,9 +1,9 @@
-//! Records of all known members and the news about them that is passed on.
+//! Table of all known members and of the updates about them to be sent.
 
 use {
     super::{
         Liveness, Member, Record, View,
-        news::{News, NewsShare, Reach},
+        updates::{Scope, Update, UpdateShare},
     },
     crate::{arena::Arena, arena_key},
     std::{
@@ -14,141 +14,145 @@
 };
 
 arena_key! {
-    /// A member in the table.
+    /// Key of a member in the table.
     MemberKey
 }
 
-/// How long a suspected member may refute before it is taken for dead.
+/// Time that a suspected member has to refute before it is declared dead.
 pub const SUSPICION_MS: u64 = 3000;
 
-/// Times after the begin of a suspicion at which the member itself is asked.
-const DOUBT_ASKED_MS: [u64; 3] = [1000, 2000, 2600];
+/// Ages of a suspicion, in milliseconds, at which this node pings the suspected
+/// member itself.
+const SUSPECT_PING_AGES_MS: [u64; 3] = [1000, 2000, 2600];
 
-/// How long the records of gone members are kept. A record that is dropped
-/// too early would come back as alive from a node that has not heard of the
-/// death; callers would then see time outs until it is suspected anew.
+/// How long records of dead and departed members are kept. A record that is
+/// dropped too early would return as alive from a node that has not received
+/// the death, and callers would see timeouts until the member is suspected
+/// again.
 pub const TOMBSTONE_MS: u64 = 600_000;
 
-/// A record with what this node keeps beside it.
+/// A member's record and this node's local state about it.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// What gossip carries.
+    /// The record that gossip propagates.
     pub record: Record,
-    /// When the liveness last changed here.
-    pub changed_ms: u64,
-    /// How often the record may still be passed on.
-    news: News,
-    /// How often the member was asked about the present suspicion.
-    doubt_count: usize,
-    /// Its part of the table's hash.
+    /// When the liveness last changed in this table.
+    pub liveness_changed_ms: u64,
+    /// Remaining sends of the record.
+    update: Update,
+    /// Number of pings sent to the member about the present suspicion.
+    suspect_ping_count: usize,
+    /// Its contribution to the table's hash.
     hash: u64,
 }
 
-/// Whether a merged record changed the table.
+/// Effect of merging a record into the table.
 #[derives::key]
 pub enum Merge {
-    /// Nothing new.
-    Known,
-    /// First record of this member, or it came back.
+    /// None: the record is not newer.
+    Unchanged,
+    /// First record of this member, or the member returned.
     Joined,
-    /// The member's liveness became this.
-    Became(Liveness),
+    /// The member's liveness changed to this.
+    LivenessChanged(Liveness),
     /// Other fields changed.
     Updated,
 }
 
-/// All known members but the node itself.
+/// All known members except the node itself.
 #[derive(Debug)]
 pub struct MemberTable {
     own_id: String,
     own_zone: String,
-    share: NewsShare,
+    share: UpdateShare,
     entries: Arena<MemberKey, Entry>,
     keys: HashMap<String, MemberKey>,
-    /// Sum of the hashes of the entries that are not gone.
+    /// Sum of the hashes of the entries that are not dead or left.
     hash: u64,
-    changed: bool,
+    is_view_outdated: bool,
 }
 
 impl MemberTable {
-    /// An empty table of the node with this record.
+    /// Creates an empty table for the node with this record.
     #[must_use]
-    pub fn new(own: &Record) -> Self {
+    pub fn new(own_record: &Record) -> Self {
         Self {
-            own_id: own.node_id.clone(),
-            own_zone: own.zone.clone(),
-            share: NewsShare::new(1, 1, 1),
+            own_id: own_record.node_id.clone(),
+            own_zone: own_record.zone.clone(),
+            share: UpdateShare::new(1, 1, 1),
             entries: Arena::new(),
             keys: HashMap::new(),
             hash: 0,
-            // The first view tells of the node itself.
-            changed: true,
+            // The first view contains the node itself.
+            is_view_outdated: true,
         }
     }
 
-    /// Takes in what gossip says about a member, to be passed on as news.
+    /// Merges a record received by gossip and schedules it to be sent as an
+    /// update.
     pub fn merge(&mut self, record: &Record, now_ms: u64) -> Merge {
-        self.merge_with(record, now_ms, self.news_of(record))
+        self.merge_with(record, now_ms, self.update_for(record))
     }
 
-    /// Takes in a record of a whole table. A member that is new here is hardly
-    /// news to the others and is passed on once.
+    /// Merges a record received in a table sync. Most other members already
+    /// know a member that is new here, so its record is sent only once.
     pub fn merge_synced(&mut self, record: &Record, now_ms: u64) -> Merge {
         match self.keys.contains_key(&record.node_id) {
             true => self.merge(record, now_ms),
-            false => self.merge_with(record, now_ms, News::synced()),
+            false => self.merge_with(record, now_ms, Update::from_sync()),
         }
     }
 
-    fn merge_with(&mut self, record: &Record, now_ms: u64, news: News) -> Merge {
+    fn merge_with(&mut self, record: &Record, now_ms: u64, update: Update) -> Merge {
         let Some(key) = self.keys.get(&record.node_id) else {
-            return self.insert(record, now_ms, news);
+            return self.insert(record, now_ms, update);
         };
         let entry = self.entries.get_mut(*key).expect("keys point to entries");
         if !record.supersedes(&entry.record) {
-            return Merge::Known;
+            return Merge::Unchanged;
         }
-        let before = entry.record.liveness;
+        let previous_liveness = entry.record.liveness;
         entry.record = record.clone();
-        entry.news = news;
+        entry.update = update;
         self.hash = self.hash.wrapping_sub(entry.hash);
         entry.hash = present_hash(record);
         self.hash = self.hash.wrapping_add(entry.hash);
-        self.changed = true;
-        if before == record.liveness {
+        self.is_view_outdated = true;
+        if previous_liveness == record.liveness {
             return Merge::Updated;
         }
-        entry.changed_ms = now_ms;
-        entry.doubt_count = 0;
-        let came_back = before > Liveness::Suspect && record.liveness <= Liveness::Suspect;
-        if came_back {
+        entry.liveness_changed_ms = now_ms;
+        entry.suspect_ping_count = 0;
+        let has_returned =
+            previous_liveness > Liveness::Suspect && record.liveness <= Liveness::Suspect;
+        if has_returned {
             Merge::Joined
         } else {
-            Merge::Became(record.liveness)
+            Merge::LivenessChanged(record.liveness)
         }
     }
 
-    fn insert(&mut self, record: &Record, now_ms: u64, news: News) -> Merge {
+    fn insert(&mut self, record: &Record, now_ms: u64, update: Update) -> Merge {
         let hash = present_hash(record);
         let entry = Entry {
             record: record.clone(),
-            changed_ms: now_ms,
-            news,
-            doubt_count: 0,
+            liveness_changed_ms: now_ms,
+            update,
+            suspect_ping_count: 0,
             hash,
         };
         self.hash = self.hash.wrapping_add(hash);
         let key = self.entries.insert(entry);
         self.keys.insert(record.node_id.clone(), key);
-        self.changed = true;
+        self.is_view_outdated = true;
         if record.liveness <= Liveness::Suspect {
             Merge::Joined
         } else {
-            Merge::Became(record.liveness)
+            Merge::LivenessChanged(record.liveness)
         }
     }
 
-    /// Marks a member as suspected; tells whether it was alive before.
+    /// Marks a member as suspected; returns whether it was alive before.
     pub fn suspect(&mut self, key: MemberKey, now_ms: u64) -> bool {
         let Some(entry) = self.entries.get_mut(key) else {
             return false;
@@ -157,41 +161,41 @@
             return false;
         }
         entry.record.liveness = Liveness::Suspect;
-        entry.changed_ms = now_ms;
-        entry.doubt_count = 0;
-        entry.news = News::heard(&entry.record, &self.own_id, &self.share);
-        self.changed = true;
+        entry.liveness_changed_ms = now_ms;
+        entry.suspect_ping_count = 0;
+        entry.update = Update::new(&entry.record, &self.own_id, &self.share);
+        self.is_view_outdated = true;
         true
     }
 
-    /// Suspected members that are to be asked now about the suspicion.
-    pub fn due_suspects(&mut self, now_ms: u64) -> Vec<MemberKey> {
+    /// Suspected members that should be pinged now.
+    pub fn suspects_to_ping(&mut self, now_ms: u64) -> Vec<MemberKey> {
         let mut due = Vec::new();
         for (key, entry) in self.entries.iter_mut() {
-            let age_ms = now_ms.saturating_sub(entry.changed_ms);
-            let is_due = DOUBT_ASKED_MS
-                .get(entry.doubt_count)
-                .is_some_and(|at_ms| age_ms >= *at_ms);
+            let age_ms = now_ms.saturating_sub(entry.liveness_changed_ms);
+            let is_due = SUSPECT_PING_AGES_MS
+                .get(entry.suspect_ping_count)
+                .is_some_and(|ping_age_ms| age_ms >= *ping_age_ms);
             if entry.record.liveness == Liveness::Suspect && is_due {
-                entry.doubt_count += 1;
+                entry.suspect_ping_count += 1;
                 due.push(key);
             }
         }
         due
     }
 
-    /// Takes suspected members that did not refute for dead and drops old
-    /// tombstones; returns the node ids of those newly dead.
+    /// Declares suspected members dead that did not refute in time, and drops
+    /// expired tombstones; returns the node ids of the newly dead.
     pub fn tick(&mut self, now_ms: u64) -> Vec<String> {
         let mut dead = Vec::new();
         let mut expired = Vec::new();
         for (key, entry) in self.entries.iter_mut() {
-            let age_ms = now_ms.saturating_sub(entry.changed_ms);
+            let age_ms = now_ms.saturating_sub(entry.liveness_changed_ms);
             match entry.record.liveness {
                 Liveness::Suspect if age_ms >= SUSPICION_MS => {
                     entry.record.liveness = Liveness::Dead;
-                    entry.changed_ms = now_ms;
-                    entry.news = News::heard(&entry.record, &self.own_id, &self.share);
+                    entry.liveness_changed_ms = now_ms;
+                    entry.update = Update::new(&entry.record, &self.own_id, &self.share);
                     self.hash = self.hash.wrapping_sub(entry.hash);
                     entry.hash = 0;
                     dead.push(entry.record.node_id.clone());
@@ -203,55 +207,56 @@
         for key in expired {
             if let Some(entry) = self.entries.remove(key) {
                 self.keys.remove(&entry.record.node_id);
-                self.changed = true;
+                self.is_view_outdated = true;
             }
         }
-        self.changed |= !dead.is_empty();
+        self.is_view_outdated |= !dead.is_empty();
         dead
     }
 
-    /// Whether there is news that should be passed on at once.
+    /// Whether any update should be sent at once.
     #[must_use]
-    pub fn has_fresh_news(&self, reach: Reach) -> bool {
+    pub fn has_urgent_updates(&self, scope: Scope) -> bool {
         let mut entries = self.entries.iter();
-        entries.any(|(_, entry)| entry.news.is_fresh(reach, &self.share))
+        entries.any(|(_, entry)| entry.update.is_urgent(scope, &self.share))
     }
 
-    /// Up to `limit` pieces of news, those sent least often first.
-    pub fn take_news(&mut self, limit: usize, reach: Reach) -> Vec<Record> {
-        let mut news: Vec<(u32, MemberKey)> = self
+    /// Takes up to `limit` records to send, those sent least often first, and
+    /// counts the send.
+    pub fn take_news(&mut self, limit: usize, scope: Scope) -> Vec<Record> {
+        let mut candidates: Vec<(u32, MemberKey)> = self
             .entries
             .iter()
-            .map(|(key, entry)| (entry.news.sends_left(reach, &self.share), key))
+            .map(|(key, entry)| (entry.update.sends_left(scope, &self.share), key))
             .filter(|(sends_left, _)| *sends_left > 0)
             .collect();
-        news.sort_unstable_by(|left, right| right.cmp(left));
-        news.truncate(limit);
-        let mut records = Vec::with_capacity(news.len());
-        for (_, key) in news {
+        candidates.sort_unstable_by(|left, right| right.cmp(left));
+        candidates.truncate(limit);
+        let mut records = Vec::with_capacity(candidates.len());
+        for (_, key) in candidates {
             let entry = self.entries.get_mut(key).expect("key comes from the table");
-            entry.news.sent(reach);
+            entry.update.record_send(scope);
             records.push(entry.record.clone());
         }
         records
     }
 
-    /// Whether a member is in the availability zone of this node.
+    /// Scope of packets to a member in this availability zone.
     #[must_use]
-    pub fn reach(&self, zone: &str) -> Reach {
+    pub fn scope_of(&self, zone: &str) -> Scope {
         match zone == self.own_zone {
-            true => Reach::Near,
-            false => Reach::Far,
+            true => Scope::SameZone,
+            false => Scope::OtherZone,
         }
     }
 
-    /// The entry of a member.
+    /// The entry with this key.
     #[must_use]
     pub fn get(&self, key: MemberKey) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// The key of a member.
+    /// The key of the member with this node id.
     #[must_use]
     pub fn key(&self, node_id: &str) -> Option<MemberKey> {
         self.keys.get(node_id).copied()
@@ -262,16 +267,16 @@
         self.entries.iter()
     }
 
-    /// Sum of the hashes of the records that are not gone, the node's own
-    /// included; equal tables have equal sums.
+    /// Sum of the hashes of the records that are not dead or left, including
+    /// the node's own; equal tables have equal sums.
     #[must_use]
-    pub fn hash(&self, own: &Record) -> u64 {
-        self.hash.wrapping_add(present_hash(own))
+    pub fn hash(&self, own_record: &Record) -> u64 {
+        self.hash.wrapping_add(present_hash(own_record))
     }
 
-    /// The view for other parts if anything changed since the last call.
-    pub fn take_view(&mut self, own: &Record) -> Option<View> {
-        if !std::mem::take(&mut self.changed) {
+    /// The view for other modules if anything changed since the last call.
+    pub fn take_view(&mut self, own_record: &Record) -> Option<View> {
+        if !std::mem::take(&mut self.is_view_outdated) {
             return None;
         }
         let mut members: Vec<_> = self
@@ -279,31 +284,31 @@
             .iter()
             .map(|(_, entry)| entry.record.to_member())
             .collect();
-        members.push(own.to_member());
+        members.push(own_record.to_member());
         members.sort_by(|left, right| left.node_id.cmp(&right.node_id));
-        self.share = self.share_among(&members);
+        self.share = self.share_for(&members);
         Some(View { members })
     }
 
-    /// Has the next `take_view` give a view in any case.
-    pub const fn mark_changed(&mut self) {
-        self.changed = true;
+    /// Makes the next `take_view` return a view in any case.
+    pub const fn mark_view_outdated(&mut self) {
+        self.is_view_outdated = true;
     }
 
-    fn news_of(&self, record: &Record) -> News {
-        News::heard(record, &self.own_id, &self.share)
+    fn update_for(&self, record: &Record) -> Update {
+        Update::new(record, &self.own_id, &self.share)
     }
 
-    fn share_among(&self, members: &[Member]) -> NewsShare {
+    fn share_for(&self, members: &[Member]) -> UpdateShare {
         let usable = || members.iter().filter(|member| member.is_usable());
-        let near = usable().filter(|member| member.zone == self.own_zone);
+        let same_zone = usable().filter(|member| member.zone == self.own_zone);
         let zones: HashSet<&str> = usable().map(|member| member.zone.as_str()).collect();
-        NewsShare::new(usable().count(), near.count(), zones.len())
+        UpdateShare::new(usable().count(), same_zone.count(), zones.len())
     }
 }
 
-/// Hash of a record without its liveness, which differs for moments all the
-/// time; 0 for members that are gone.
+/// Hash of a record without its liveness, which often differs between nodes for
+/// a moment; 0 for dead and departed members.
 fn present_hash(record: &Record) -> u64 {
     if record.liveness > Liveness::Suspect {
         return 0;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Gossip over an in-memory network with losses, cuts and pauses.
+//! Gossip over an in-memory network with packet loss, partitions and pauses.
 
 #[path = "admission_support/generated.rs"]
 mod generated;
@@ -15,184 +15,186 @@
             PacketCodec, PacketKind, Record, SeedAddresses, Swim, View, relays,
         },
     },
-    membership_support::{Fleet, Host, record},
+    membership_support::{Fleet, SimulatedNode, record},
     std::net::SocketAddr,
 };
 
 const SECRET: &str = "a fleet secret for tests";
 
 #[test]
-fn all_nodes_find_each_other_from_one_seed() {
+fn all_nodes_discover_each_other_from_one_seed() {
     struct Case {
         zone_count: u8,
-        per_zone: u8,
+        nodes_per_zone: u8,
         loss_ratio: f64,
         limit_ms: u64,
     }
     let cases = [
         Case {
             zone_count: 1,
-            per_zone: 2,
+            nodes_per_zone: 2,
             loss_ratio: 0.0,
             limit_ms: 10_000,
         },
         Case {
             zone_count: 3,
-            per_zone: 4,
+            nodes_per_zone: 4,
             loss_ratio: 0.0,
             limit_ms: 20_000,
         },
         Case {
             zone_count: 3,
-            per_zone: 4,
+            nodes_per_zone: 4,
             loss_ratio: 0.2,
             limit_ms: 60_000,
         },
         Case {
             zone_count: 6,
-            per_zone: 10,
+            nodes_per_zone: 10,
             loss_ratio: 0.05,
             limit_ms: 60_000,
         },
     ];
     for (seed, case) in (0..).zip(cases) {
-        let mut fleet = Fleet::new(case.zone_count, case.per_zone, seed);
+        let mut fleet = Fleet::new(case.zone_count, case.nodes_per_zone, seed);
         fleet.loss_ratio = case.loss_ratio;
         fleet.run_until(case.limit_ms, Fleet::all_see_each_other);
     }
 }
 
-// A fleet starts all at once and its nodes ask different seeds first. Two groups
-// that each know only themselves would route to half of the targets and take
-// the other half's slots for gone.
+// A whole fleet starts and its nodes contact different seeds first. Two groups
+// that each know only their own members would route to half of the targets and
+// regard the other half's slots as gone.
 #[test]
-fn groups_that_asked_different_seeds_meet() {
+fn groups_with_different_seeds_discover_each_other() {
     for seed in 100..140 {
         let mut fleet = Fleet::new(2, 4, seed);
-        let far: Vec<SocketAddr> = fleet.hosts.iter().map(|host| host.address).collect();
+        let addresses: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.address).collect();
         let seeds = SeedAddresses {
             near: Vec::new(),
-            far,
+            far: addresses,
         };
-        for host in &mut fleet.hosts {
-            host.swim.add_seeds(&seeds);
+        for node in &mut fleet.nodes {
+            node.swim.add_seeds(&seeds);
         }
         fleet.run_until(10_000, Fleet::all_see_each_other);
     }
 }
 
-// An instance fails without a word. Until the others know, they send requests
-// into nothing and callers wait for time outs.
+// An instance fails without notice. Until the other nodes declare it dead, they
+// send requests to it and callers wait for timeouts.
 #[test]
-fn a_killed_node_is_taken_for_dead_everywhere() {
+fn a_killed_node_is_declared_dead_by_all_members() {
     let mut fleet = Fleet::new(3, 4, 7);
     fleet.run_until(20_000, Fleet::all_see_each_other);
-    fleet.hosts[5].is_up = false;
+    fleet.nodes[5].is_up = false;
     fleet.run_until(20_000, |fleet| {
         (0..12)
-            .filter(|i| *i != 5)
-            .all(|i| fleet.state_at(i, "n2-2") == Some(MemberState::Dead))
+            .filter(|index| *index != 5)
+            .all(|index| fleet.member_state(index, "n2-2") == Some(MemberState::Dead))
     });
 }
 
-// Datagrams get lost now and then. If one lost probe were enough to remove a
-// member, a healthy target would get no work and its callers be refused.
+// Datagrams are occasionally lost. If one lost probe removed a member, a
+// healthy target would receive no requests and its callers would be refused.
 #[test]
-fn losses_alone_remove_nobody() {
+fn packet_loss_alone_removes_no_member() {
     for seed in [6, 11, 17, 25, 36, 49] {
         let mut fleet = Fleet::new(3, 4, seed);
         fleet.run_until(20_000, Fleet::all_see_each_other);
         fleet.loss_ratio = 0.1;
         for _ in 0..3000 {
             fleet.step();
-            for host in &fleet.hosts {
-                let dead = host
+            for node in &fleet.nodes {
+                let dead = node
                     .view
                     .members
                     .iter()
-                    .find(|m| m.state == MemberState::Dead);
+                    .find(|member| member.state == MemberState::Dead);
                 assert_eq!(dead, None, "seed {seed} at {} ms", fleet.now_ms);
             }
         }
     }
 }
 
-// A zone is cut off, both sides take each other for dead, then the link is
-// mended. Nobody restarts the nodes; were the dead never asked again, each
-// side would go on without the other and callers lose half of the capacity.
+// A zone is partitioned, both sides declare each other dead, then the link is
+// restored. Nobody restarts the nodes. If dead members were never probed again,
+// each side would go on without the other and callers would lose half of the
+// capacity.
 #[test]
-fn zones_that_were_cut_off_come_back_by_themselves() {
+fn partitioned_zones_rejoin_without_a_restart() {
     struct Case {
-        cuts: Vec<(u8, u8)>,
+        blocked_links: Vec<(u8, u8)>,
     }
     let cases = [
         Case {
-            cuts: vec![(1, 2), (2, 1), (3, 1), (1, 3)],
+            blocked_links: vec![(1, 2), (2, 1), (3, 1), (1, 3)],
         },
         Case {
-            cuts: vec![(1, 2), (1, 3)],
+            blocked_links: vec![(1, 2), (1, 3)],
         },
         Case {
-            cuts: vec![(2, 1), (3, 1)],
+            blocked_links: vec![(2, 1), (3, 1)],
         },
     ];
     for (seed, case) in (20..).zip(cases) {
         let mut fleet = Fleet::new(3, 3, seed);
         fleet.run_until(20_000, Fleet::all_see_each_other);
-        fleet.cuts.extend(case.cuts);
+        fleet.blocked_links.extend(case.blocked_links);
         for _ in 0..400 {
             fleet.step();
         }
         assert!(!fleet.all_see_each_other());
-        fleet.cuts.clear();
+        fleet.blocked_links.clear();
         fleet.run_until(60_000, Fleet::all_see_each_other);
     }
 }
 
-// Two zones lose their link but both still reach the third. Members ask others
-// to probe for them, so nobody who is alive for someone is taken for dead.
+// Two zones lose their link, but both still reach the third. Members request
+// indirect probes, so a member that any zone reaches is not declared dead.
 #[test]
-fn a_cut_between_two_zones_kills_nobody_whom_a_third_reaches() {
+fn a_member_reachable_through_a_third_zone_is_not_declared_dead() {
     let mut fleet = Fleet::new(3, 4, 31);
     fleet.run_until(20_000, Fleet::all_see_each_other);
-    fleet.cuts.extend([(1, 2), (2, 1)]);
+    fleet.blocked_links.extend([(1, 2), (2, 1)]);
     for _ in 0..600 {
         fleet.step();
     }
     let dead_count: usize = fleet
-        .hosts
+        .nodes
         .iter()
-        .map(|h| {
-            h.view
+        .map(|node| {
+            node.view
                 .members
                 .iter()
-                .filter(|m| m.state == MemberState::Dead)
+                .filter(|member| member.state == MemberState::Dead)
                 .count()
         })
         .sum();
     assert_eq!(dead_count, 0);
 }
 
-// A node that hears datagrams but is not heard looks healthy to itself. Stamps
-// come only with replies to own probes, so it gets none and can tell.
+// A node that receives datagrams but whose own are lost looks healthy to
+// itself. Stamps come only with acks to its own probes, so it gets none and can
+// detect the fault.
 #[test]
-fn a_node_that_is_not_heard_gets_no_stamps() {
+fn a_node_whose_datagrams_are_lost_gets_no_stamps() {
     let mut fleet = Fleet::new(2, 3, 41);
     fleet.run_until(20_000, Fleet::all_see_each_other);
-    fleet.cuts.insert((1, 2));
-    for host in &mut fleet.hosts {
-        host.stamps.clear();
+    fleet.blocked_links.insert((1, 2));
+    for node in &mut fleet.nodes {
+        node.stamps.clear();
     }
     let start_ms = fleet.now_ms;
     for _ in 0..100 {
         fleet.step();
     }
-    let from_other_zone =
-        |host: &Host, zone: &str| host.stamps.iter().filter(|s| s.zone == zone).count();
-    assert_eq!(from_other_zone(&fleet.hosts[0], "z2"), 0);
-    assert!(from_other_zone(&fleet.hosts[0], "z1") > 0);
+    let stamp_count =
+        |node: &SimulatedNode, zone: &str| node.stamps.iter().filter(|s| s.zone == zone).count();
+    assert_eq!(stamp_count(&fleet.nodes[0], "z2"), 0);
+    assert!(stamp_count(&fleet.nodes[0], "z1") > 0);
     assert!(
-        fleet.hosts[0]
+        fleet.nodes[0]
             .stamps
             .iter()
             .all(|stamp| stamp.probe_sent_ms >= start_ms)
@@ -200,25 +202,25 @@
 }
 
 #[test]
-fn stamps_carry_versions_and_the_age_of_the_look_at_the_platform() {
+fn stamps_contain_versions_and_the_time_of_the_platform_poll() {
     let mut fleet = Fleet::new(1, 2, 51);
     fleet.run_until(20_000, Fleet::all_see_each_other);
-    let seen_ms = fleet.now_ms;
+    let polled_ms = fleet.now_ms;
     let state = OwnState {
         versions: Versions([5, 6, 7, 8]),
-        platform_seen_ms: Some(seen_ms),
+        platform_seen_ms: Some(polled_ms),
         ..OwnState::default()
     };
     fleet.set_state(0, state);
-    fleet.hosts[1].stamps.clear();
-    fleet.run_until(5_000, |fleet| !fleet.hosts[1].stamps.is_empty());
-    let stamp = &fleet.hosts[1].stamps[0];
+    fleet.nodes[1].stamps.clear();
+    fleet.run_until(5_000, |fleet| !fleet.nodes[1].stamps.is_empty());
+    let stamp = &fleet.nodes[1].stamps[0];
     assert_eq!(stamp.versions, Versions([5, 6, 7, 8]));
-    assert_eq!(stamp.platform_seen_ms, Some(seen_ms));
+    assert_eq!(stamp.platform_seen_ms, Some(polled_ms));
 }
 
 #[test]
-fn targets_drains_and_departures_are_told() {
+fn targets_drains_and_departures_are_propagated() {
     let mut fleet = Fleet::new(2, 3, 61);
     fleet.run_until(20_000, Fleet::all_see_each_other);
     let target = Announcement {
@@ -233,10 +235,12 @@
     };
     fleet.set_state(0, running.clone());
     fleet.run_until(5_000, |fleet| {
-        fleet
-            .hosts
-            .iter()
-            .all(|h| h.view.member("n1-1").and_then(|m| m.target.as_ref()) == Some(&target))
+        fleet.nodes.iter().all(|node| {
+            node.view
+                .member("n1-1")
+                .and_then(|member| member.target.as_ref())
+                == Some(&target)
+        })
     });
     let draining = OwnState {
         draining: true,
@@ -244,11 +248,11 @@
     };
     fleet.set_state(0, draining.clone());
     let drained_ms = fleet.run_until(5_000, |fleet| {
-        (0..6).all(|i| fleet.state_at(i, "n1-1") == Some(MemberState::Draining))
+        (0..6).all(|index| fleet.member_state(index, "n1-1") == Some(MemberState::Draining))
     });
     assert!(
         drained_ms <= 3_000,
-        "{drained_ms} ms until all knew of the drain"
+        "{drained_ms} ms until all members knew of the drain"
     );
     fleet.set_state(
         0,
@@ -258,37 +262,37 @@
         },
     );
     fleet.run_until(5_000, |fleet| {
-        (1..6).all(|i| fleet.state_at(i, "n1-1") == Some(MemberState::Left))
+        (1..6).all(|index| fleet.member_state(index, "n1-1") == Some(MemberState::Left))
     });
 }
 
-// An operator revokes a key at one node while the platform is down. Nodes that
-// do not hear of it, also those that join later, would go on serving the key.
+// An operator revokes a key on one node while the platform is down. Nodes that
+// do not receive the revocation, including those that join later, would
+// continue to accept the key.
 #[test]
 fn a_revocation_reaches_all_nodes_and_later_joiners() {
     let mut fleet = Fleet::new(3, 4, 71);
-    fleet.hosts[11].is_up = false;
+    fleet.nodes[11].is_up = false;
     fleet.run_until(20_000, Fleet::all_see_each_other);
     let digest = KeyDigest([9; 32]);
     let mut out = Vec::new();
-    fleet.hosts[0]
+    fleet.nodes[0]
         .swim
         .revoke(&[digest], fleet.now_ms, &mut fleet.rng, &mut out);
     fleet.deliver(0, out);
     let spread_ms = fleet.run_until(10_000, |fleet| {
-        (1..11).all(|i| fleet.hosts[i].revoked == vec![digest])
+        (1..11).all(|index| fleet.nodes[index].revoked == vec![digest])
     });
     assert!(spread_ms <= 5_000, "{spread_ms} ms until all nodes knew");
     for _ in 0..600 {
         fleet.step();
     }
-    fleet.hosts[11].is_up = true;
-    fleet.run_until(20_000, |fleet| fleet.hosts[11].revoked == vec![digest]);
+    fleet.nodes[11].is_up = true;
+    fleet.run_until(20_000, |fleet| fleet.nodes[11].revoked == vec![digest]);
 }
 
-// A process is killed and started again in its slot within a second. Others
-// must take the new process for itself and not hold the old one's record, with
-// its target, against it.
+// A process is killed and restarted in its slot within a second. Other members
+// must accept the new process's record and discard the old one with its target.
 #[test]
 fn a_restart_in_place_replaces_the_old_record() {
     let mut fleet = Fleet::new(1, 3, 81);
@@ -303,44 +307,47 @@
         );
         fleet.set_state(1, OwnState::default());
     }
-    let seed = fleet.hosts[0].address;
+    let seed = fleet.nodes[0].address;
     let own = Record {
         started_unix_ms: 2,
         ..record("n1-2", 1, 2)
     };
-    fleet.hosts[1].swim = Swim::new(own, vec![seed]);
+    fleet.nodes[1].swim = Swim::new(own, vec![seed]);
     fleet.run_until(10_000, |fleet| {
-        [0, 2].iter().all(|i| {
-            let member = fleet.hosts[*i].view.member("n1-2");
-            member.is_some_and(|m| m.started_unix_ms == 2 && m.state == MemberState::Alive)
+        [0, 2].iter().all(|index| {
+            let member = fleet.nodes[*index].view.member("n1-2");
+            member.is_some_and(|member| {
+                member.started_unix_ms == 2 && member.state == MemberState::Alive
+            })
         })
     });
 }
 
-// A process is killed and started again while its instance's clock is set back. By
-// its start it seems older than the record that others hold; were that believed, the
-// target that the new process serves would get no work until the clock has caught up.
+// A process is killed and restarted after its instance's clock was set back, so
+// its start time is before that of the record that others hold. If the others
+// kept the old record, the new process's target would receive no requests until
+// the clock has caught up.
 #[test]
 fn a_restart_under_a_clock_set_back_replaces_the_old_record() {
     let mut fleet = Fleet::new(1, 3, 82);
     fleet.run_until(20_000, Fleet::all_see_each_other);
-    let seed = fleet.hosts[0].address;
-    let left = OwnState {
+    let seed = fleet.nodes[0].address;
+    let departed = OwnState {
         left: true,
         ..OwnState::default()
     };
-    fleet.set_state(1, left);
+    fleet.set_state(1, departed);
     fleet.run_until(10_000, |fleet| {
         [0, 2]
             .iter()
-            .all(|i| fleet.state_at(*i, "n1-2") == Some(MemberState::Left))
+            .all(|index| fleet.member_state(*index, "n1-2") == Some(MemberState::Left))
     });
     let own = Record {
         started_unix_ms: 0,
         ..record("n1-2", 1, 2)
     };
-    fleet.hosts[1].swim = Swim::new(own, vec![seed]);
-    fleet.hosts[1].swim.add_seeds(&SeedAddresses {
+    fleet.nodes[1].swim = Swim::new(own, vec![seed]);
+    fleet.nodes[1].swim.add_seeds(&SeedAddresses {
         near: vec![seed],
         far: Vec::new(),
     });
@@ -358,56 +365,56 @@
             .collect()
     };
     for zone in ["z1", "z2"] {
-        let expected = names(&fleet.hosts[0].view, zone);
+        let expected = names(&fleet.nodes[0].view, zone);
         assert_eq!(expected.len(), 2);
         assert!(
             fleet
-                .hosts
+                .nodes
                 .iter()
-                .all(|host| names(&host.view, zone) == expected)
+                .all(|node| names(&node.view, zone) == expected)
         );
     }
 }
 
-// An operator publishes a change. Were members to learn of it from replies to
-// their own probes alone, a large zone would go on for ten seconds and more
-// with the old rules, and with keys that were revoked.
+// An operator publishes a change. If members received versions only in replies
+// to their own probes, a large zone would apply the old rules, and accept
+// revoked keys, for more than ten seconds.
 #[test]
 fn a_new_version_reaches_all_members_within_five_seconds() {
     struct Case {
         zone_count: u8,
-        per_zone: u8,
+        nodes_per_zone: u8,
         loss_ratio: f64,
     }
     let cases = [
         Case {
             zone_count: 1,
-            per_zone: 97,
+            nodes_per_zone: 97,
             loss_ratio: 0.0,
         },
         Case {
             zone_count: 1,
-            per_zone: 97,
+            nodes_per_zone: 97,
             loss_ratio: 0.05,
         },
         Case {
             zone_count: 6,
-            per_zone: 16,
+            nodes_per_zone: 16,
             loss_ratio: 0.05,
         },
     ];
     for (seed, case) in (100..).zip(cases) {
-        let mut fleet = Fleet::new(case.zone_count, case.per_zone, seed);
+        let mut fleet = Fleet::new(case.zone_count, case.nodes_per_zone, seed);
         fleet.run_until(120_000, Fleet::all_see_each_other);
         fleet.loss_ratio = case.loss_ratio;
         for version in 1..=5 {
             let published = Versions([version, 0, 0, 0]);
-            fleet.hosts[0].told = published;
+            fleet.nodes[0].announced_versions = published;
             let start_ms = fleet.now_ms;
             while fleet
-                .hosts
+                .nodes
                 .iter()
-                .any(|host| host.state.versions != published)
+                .any(|node| node.state.versions != published)
             {
                 fleet.fetch_versions();
                 fleet.step();
@@ -418,46 +425,46 @@
     }
 }
 
-// The platform is down and some datagrams get lost, as they do. A node goes on
-// with everything only while every zone answers it: were a zone asked too
-// rarely, two losses would have a healthy node refuse orders as cut off. While
-// the platform is up, looks that come too late would do the same.
+// The platform is down and some datagrams are lost. A node is fully in service
+// only while every zone replies to its probes: if a zone were probed too
+// rarely, two losses would make a healthy node refuse orders as cut off. While
+// the platform is up, polls that are propagated too late would do the same.
 #[test]
-fn losses_alone_leave_replies_and_looks_young_enough() {
+fn packet_loss_alone_keeps_replies_and_polls_fresh() {
     let mut fleet = Fleet::new(6, 10, 111);
     fleet.run_until(60_000, Fleet::all_see_each_other);
     fleet.loss_ratio = 0.05;
     let mut reply_count = 0_u32;
     let mut old_reply_count = 0_u32;
-    let mut look_count = 0_u32;
-    let mut old_look_count = 0_u32;
-    let warm_ms = fleet.now_ms + 20_000;
-    while fleet.now_ms < warm_ms + 60_000 {
+    let mut poll_count = 0_u32;
+    let mut old_poll_count = 0_u32;
+    let measure_from_ms = fleet.now_ms + 20_000;
+    while fleet.now_ms < measure_from_ms + 60_000 {
         fleet.step();
-        fleet.look_and_learn();
+        fleet.poll_and_propagate();
         let now_ms = fleet.now_ms;
-        for host in &mut fleet.hosts {
-            host.stamps
+        for node in &mut fleet.nodes {
+            node.stamps
                 .retain(|stamp| stamp.probe_sent_ms + 2 * REPLY_LIMIT_MS > now_ms);
         }
-        if now_ms < warm_ms {
+        if now_ms < measure_from_ms {
             continue;
         }
-        for host in &fleet.hosts {
+        for node in &fleet.nodes {
             for zone in (1..=6).map(|zone| format!("z{zone}")) {
-                let replied_ms = host.last_reply_ms(&zone).unwrap_or(0);
+                let replied_ms = node.last_replied_probe_ms(&zone).unwrap_or(0);
                 reply_count += 1;
                 old_reply_count += u32::from(now_ms >= replied_ms + REPLY_LIMIT_MS);
             }
-            let seen_ms = host.state.platform_seen_ms.unwrap_or(0);
-            look_count += 1;
-            old_look_count += u32::from(now_ms >= seen_ms + FRESH_LIMIT_MS);
+            let polled_ms = node.state.platform_seen_ms.unwrap_or(0);
+            poll_count += 1;
+            old_poll_count += u32::from(now_ms >= polled_ms + FRESH_LIMIT_MS);
         }
     }
     println!("old replies: {old_reply_count} of {reply_count}");
-    println!("old looks: {old_look_count} of {look_count}");
+    println!("old polls: {old_poll_count} of {poll_count}");
     assert!(old_reply_count * 1000 <= reply_count);
-    assert!(old_look_count * 1000 <= look_count);
+    assert!(old_poll_count * 1000 <= poll_count);
 }
 
 fn sample_packet() -> Packet {
@@ -489,12 +496,12 @@
 }
 
 #[test]
-fn packets_survive_the_wire() {
+fn packets_are_decoded_as_encoded() {
     let codec = PacketCodec::new(SECRET);
     let packet = sample_packet();
     let decoded = codec.decode(&codec.encode(&packet)).unwrap();
     assert_eq!(decoded, Datagram::Packet(Box::new(packet.clone())));
-    let bare = Packet {
+    let minimal = Packet {
         kind: PacketKind::Ack,
         platform_age_ms: None,
         is_origin_failing: false,
@@ -502,12 +509,12 @@
         revocations: Vec::new(),
         ..packet
     };
-    let decoded = codec.decode(&codec.encode(&bare)).unwrap();
-    assert_eq!(decoded, Datagram::Packet(Box::new(bare.clone())));
+    let decoded = codec.decode(&codec.encode(&minimal)).unwrap();
+    assert_eq!(decoded, Datagram::Packet(Box::new(minimal.clone())));
 }
 
-// Anyone who reaches the port can send datagrams. Without a check a stranger
-// could add members and have requests with their contexts sent to itself.
+// Anyone who reaches the port can send datagrams. Without authentication a
+// stranger could add members and receive requests with their contexts.
 #[test]
 fn datagrams_without_the_fleet_secret_are_rejected() {
     let datagram = PacketCodec::new("some other secret").encode(&sample_packet());
@@ -530,7 +537,7 @@
 #[test]
 fn no_bytes_make_the_decoder_panic() {
     generated::for_each_case(2000, |bytes: Vec<u8>| {
-        // Tagged with the right secret, so that the parser itself is reached.
+        // Tagged with the correct secret, so that the parser is reached.
         let codec = PacketCodec::new(SECRET);
         let _ = codec.decode(&bytes);
         let _ = codec.decode(&codec.tagged(&bytes));
--- a/tests/membership_news.rs
+++ b/tests/membership_news.rs
@@ -1,4 +1,5 @@
-//! How fast a change of one node is known to all.
+//! How fast, and with how much traffic, a change of one member reaches all
+//! nodes.
 
 #[path = "membership_support/mod.rs"]
 mod membership_support;
@@ -8,17 +9,17 @@
     membership_support::Fleet,
 };
 
-/// Within which callers that are refused at a leaving target are few.
+/// Time within which few callers are refused at a leaving target.
 const KNOWN_LIMIT_MS: u64 = 500;
-/// After a start nothing is left to tell.
+/// Time after which no updates of the start remain to be sent.
 const SETTLED_MS: u64 = 40_000;
-/// Records of one change that cross from one zone to another.
+/// Maximum records of one change sent from one zone to another.
 const MAX_SENDS_PER_ZONE_PAIR: usize = 8;
 
-/// Pattern: targets leave while callers press. Nodes that hear of it late go on
-/// sending requests there, each of which is refused and sent again.
+/// Targets leave under load. Nodes that receive the update late continue to
+/// send requests there, each of which is refused and retried.
 #[test]
-fn drains_are_known_to_a_hundred_nodes_within_half_a_second() {
+fn drains_reach_a_hundred_nodes_within_half_a_second() {
     struct Case {
         name: &'static str,
         loss_ratio: f64,
@@ -42,7 +43,7 @@
         },
     ];
     for (seed, case) in (0..).zip(cases) {
-        let mut fleet = Fleet::started(6, 16, seed);
+        let mut fleet = Fleet::started_with_zone_seeds(6, 16, seed);
         while fleet.now_ms < SETTLED_MS {
             fleet.step();
         }
@@ -52,69 +53,73 @@
             draining: true,
             ..OwnState::default()
         };
-        for host in case.leaving.clone() {
-            fleet.set_state(host, state.clone());
+        for node in case.leaving.clone() {
+            fleet.set_state(node, state.clone());
         }
-        let names: Vec<String> = case.leaving.map(|host| fleet.name(host)).collect();
+        let node_ids: Vec<String> = case.leaving.map(|node| fleet.node_id(node)).collect();
         let is_known = |fleet: &Fleet| {
             let mut pairs =
-                (0..fleet.hosts.len()).flat_map(|host| names.iter().map(move |n| (host, n)));
-            pairs.all(|(host, name)| fleet.state_at(host, name) == Some(MemberState::Draining))
+                (0..fleet.nodes.len()).flat_map(|node| node_ids.iter().map(move |id| (node, id)));
+            pairs.all(|(node, id)| fleet.member_state(node, id) == Some(MemberState::Draining))
         };
         let took_ms = fleet.run_until(KNOWN_LIMIT_MS, is_known);
         println!("{}: known after {took_ms} ms", case.name);
     }
 }
 
-/// Pattern: members change all day. Every member used to send each change to
-/// other zones, so that bytes between zones grew with the square of the fleet.
+/// Members change all the time. If every member sent each change to other
+/// zones, the traffic between zones would grow with the square of the fleet.
 #[test]
-fn a_change_crosses_between_zones_as_often_in_a_large_fleet() {
+fn cross_zone_sends_of_a_change_do_not_grow_with_the_fleet() {
     struct Case {
         name: &'static str,
         zone_count: u8,
-        per_zone: u8,
+        nodes_per_zone: u8,
     }
     let cases = [
         Case {
             name: "small zones",
             zone_count: 4,
-            per_zone: 8,
+            nodes_per_zone: 8,
         },
         Case {
             name: "large zones",
             zone_count: 4,
-            per_zone: 50,
+            nodes_per_zone: 50,
         },
         Case {
             name: "two small zones",
             zone_count: 2,
-            per_zone: 7,
+            nodes_per_zone: 7,
         },
     ];
     for (seed, case) in (0..).zip(cases) {
-        let mut fleet = Fleet::started(case.zone_count, case.per_zone, seed);
+        let mut fleet = Fleet::started_with_zone_seeds(case.zone_count, case.nodes_per_zone, seed);
         while fleet.now_ms < SETTLED_MS {
             fleet.step();
         }
-        fleet.far_news_count = 0;
+        fleet.cross_zone_record_count = 0;
         let state = OwnState {
             draining: true,
             ..OwnState::default()
         };
         fleet.set_state(3, state);
-        let name = fleet.name(3);
+        let node_id = fleet.node_id(3);
         fleet.run_until(KNOWN_LIMIT_MS, |fleet| {
-            (0..fleet.hosts.len())
-                .all(|host| fleet.state_at(host, &name) == Some(MemberState::Draining))
+            (0..fleet.nodes.len())
+                .all(|node| fleet.member_state(node, &node_id) == Some(MemberState::Draining))
         });
         while fleet.now_ms < SETTLED_MS + 10_000 {
             fleet.step();
         }
         let zone_pair_count = usize::from(case.zone_count * (case.zone_count - 1));
-        let limit = MAX_SENDS_PER_ZONE_PAIR * zone_pair_count;
-        let count = fleet.far_news_count;
-        println!("{}: {count} records between zones", case.name);
-        assert!(count <= limit, "{}: {count} of {limit}", case.name);
+        let max_count = MAX_SENDS_PER_ZONE_PAIR * zone_pair_count;
+        let sent_count = fleet.cross_zone_record_count;
+        println!("{}: {sent_count} records between zones", case.name);
+        assert!(
+            sent_count <= max_count,
+            "{}: {sent_count} of {max_count}",
+            case.name
+        );
     }
 }
--- a/tests/membership_seeds.rs
+++ b/tests/membership_seeds.rs
@@ -1,4 +1,4 @@
-//! What nodes leave for those that start after them.
+//! Seeds that nodes publish for those that start later.
 
 use {
     dogwoodbridge::membership::SeedsRecord,
@@ -11,62 +11,62 @@
         .collect()
 }
 
-/// All processes of a fleet are killed at once. Each that starts knows only
-/// itself; had it written that, a workspace would be admitted its whole rate by
-/// every node, and nodes would not find each other.
+/// All processes of a fleet are killed at once. Each one that starts knows only
+/// itself. If it published that, nodes would not find each other, and every
+/// node would admit a workspace's whole rate.
 #[test]
-fn a_node_that_has_just_started_changes_nothing() {
+fn a_node_that_has_just_started_replaces_no_seeds() {
     struct Case {
         name: &'static str,
-        held: Option<u8>,
+        stored: Option<u8>,
         present: u8,
         uptime_ms: u64,
         written: Option<usize>,
     }
     let cases = [
         Case {
-            name: "nothing there yet",
-            held: None,
+            name: "no record stored yet",
+            stored: None,
             present: 1,
             uptime_ms: 100,
             written: Some(1),
         },
         Case {
             name: "just started and alone",
-            held: Some(4),
+            stored: Some(4),
             present: 1,
             uptime_ms: 100,
             written: None,
         },
         Case {
-            name: "settled, others are gone",
-            held: Some(4),
+            name: "settled, one node is gone",
+            stored: Some(4),
             present: 3,
             uptime_ms: 60_000,
             written: Some(3),
         },
         Case {
-            name: "settled and right",
-            held: Some(4),
+            name: "settled, record is current",
+            stored: Some(4),
             present: 4,
             uptime_ms: 60_000,
             written: None,
         },
         Case {
-            name: "settled, one more",
-            held: Some(4),
+            name: "settled, one node joined",
+            stored: Some(4),
             present: 5,
             uptime_ms: 60_000,
             written: Some(5),
         },
     ];
     for case in cases {
-        let held = case.held.map(|count| SeedsRecord {
+        let stored = case.stored.map(|count| SeedsRecord {
             member_count: usize::from(count),
             addresses: addresses(count),
         });
         let present = addresses(case.present);
-        let revised = SeedsRecord::revised(held.as_ref(), &present, case.uptime_ms);
+        let revised = SeedsRecord::revised(stored.as_ref(), &present, case.uptime_ms);
         let written = revised.as_ref().map(|record| record.member_count);
         assert_eq!(written, case.written, "{}", case.name);
         if let Some(record) = revised {
--- a/tests/membership_support/mod.rs
+++ b/tests/membership_support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of gossiping nodes over an in-memory network with losses, cuts and
-//! pauses.
+//! A fleet of gossiping nodes over an in-memory network with packet loss,
+//! partitions and pauses.
 
 #![allow(dead_code)]
 
@@ -20,7 +20,7 @@
 };
 
 pub const STEP_MS: u64 = 100;
-/// Seeds that a zone leaves for nodes that start.
+/// Maximum number of seeds that a zone publishes.
 const SEEDS_PER_ZONE: usize = 4;
 
 pub fn record(node_id: &str, zone: u8, index: u8) -> Record {
@@ -43,34 +43,34 @@
     }
 }
 
-pub struct Host {
+pub struct SimulatedNode {
     pub swim: Swim,
     pub address: SocketAddr,
     pub zone: u8,
     pub view: View,
     pub stamps: Vec<PeerStamp>,
     pub revoked: Vec<KeyDigest>,
-    /// What it tells about itself.
+    /// State that it publishes about itself.
     pub state: OwnState,
-    /// Highest versions that it was told of.
-    pub told: Versions,
+    /// Highest versions that other members announced to it.
+    pub announced_versions: Versions,
     pub is_up: bool,
 }
 
-impl Host {
+impl SimulatedNode {
     pub fn zone_name(&self) -> String {
         format!("z{}", self.zone)
     }
 
-    pub fn ip_end(&self) -> u8 {
+    pub fn last_octet(&self) -> u8 {
         match self.address.ip() {
             IpAddr::V4(ip) => ip.octets()[3],
-            IpAddr::V6(_) => unreachable!("all hosts have IPv4 addresses"),
+            IpAddr::V6(_) => unreachable!("all nodes have IPv4 addresses"),
         }
     }
 
-    /// When the last probe was sent that a member of the zone answered.
-    pub fn last_reply_ms(&self, zone: &str) -> Option<u64> {
+    /// When the last probe was sent to which a member of the zone replied.
+    pub fn last_replied_probe_ms(&self, zone: &str) -> Option<u64> {
         let stamps = self.stamps.iter().filter(|stamp| stamp.zone == zone);
         stamps.map(|stamp| stamp.probe_sent_ms).max()
     }
@@ -78,36 +78,37 @@
 
 /// The seeds as a node of this zone reads them.
 pub fn seeds_of_zone(seeds: &[(u8, SocketAddr)], zone: u8) -> SeedAddresses {
-    let (near, far): (Vec<_>, Vec<_>) = seeds.iter().partition(|(other, _)| *other == zone);
+    let (same_zone, other_zones): (Vec<_>, Vec<_>) =
+        seeds.iter().partition(|(other, _)| *other == zone);
     let addresses = |seeds: Vec<(u8, SocketAddr)>| seeds.into_iter().map(|(_, seed)| seed);
     SeedAddresses {
-        near: addresses(near).collect(),
-        far: addresses(far).collect(),
+        near: addresses(same_zone).collect(),
+        far: addresses(other_zones).collect(),
     }
 }
 
-/// A fleet whose datagrams arrive at the next step or never.
+/// A fleet whose datagrams arrive in the same step or never.
 pub struct Fleet {
-    pub hosts: Vec<Host>,
+    pub nodes: Vec<SimulatedNode>,
     pub rng: StdRng,
     pub now_ms: u64,
     pub loss_ratio: f64,
-    /// Pairs of zones of which the first is not heard by the second.
-    pub cuts: HashSet<(u8, u8)>,
+    /// Pairs (sender, receiver) of zones between which datagrams are lost.
+    pub blocked_links: HashSet<(u8, u8)>,
     pub sent_count: u64,
     /// Records in the packets that were sent.
     pub record_count: usize,
-    /// Records of news in packets that left their zone.
-    pub far_news_count: usize,
+    /// Records in packets, other than sync parts, that left their zone.
+    pub cross_zone_record_count: usize,
     pub sent: Vec<(u8, u8, Outgoing)>,
 }
 
 impl Fleet {
-    pub fn new(zone_count: u8, per_zone: u8, seed: u64) -> Self {
+    pub fn new(zone_count: u8, nodes_per_zone: u8, seed: u64) -> Self {
         let first = record("n1-1", 1, 1).gossip_address();
-        let mut hosts = Vec::new();
+        let mut nodes = Vec::new();
         for zone in 1..=zone_count {
-            for index in 1..=per_zone {
+            for index in 1..=nodes_per_zone {
                 let own = record(&format!("n{zone}-{index}"), zone, index);
                 let address = own.gossip_address();
                 let seeds = if address == first {
@@ -115,7 +116,7 @@
                 } else {
                     vec![first]
                 };
-                hosts.push(Host {
+                nodes.push(SimulatedNode {
                     swim: Swim::new(own, seeds),
                     address,
                     zone,
@@ -123,41 +124,41 @@
                     stamps: Vec::new(),
                     revoked: Vec::new(),
                     state: OwnState::default(),
-                    told: Versions::default(),
+                    announced_versions: Versions::default(),
                     is_up: true,
                 });
             }
         }
         Self {
-            hosts,
+            nodes,
             rng: StdRng::seed_from_u64(seed),
             now_ms: 0,
             loss_ratio: 0.0,
-            cuts: HashSet::new(),
+            blocked_links: HashSet::new(),
             sent_count: 0,
             record_count: 0,
-            far_news_count: 0,
+            cross_zone_record_count: 0,
             sent: Vec::new(),
         }
     }
 
-    /// Nodes that start as a whole with the seeds that their zones left.
-    pub fn started(zone_count: u8, per_zone: u8, seed: u64) -> Self {
-        let mut fleet = Self::new(zone_count, per_zone, seed);
+    /// A fleet that starts as a whole with the seeds that its zones published.
+    pub fn started_with_zone_seeds(zone_count: u8, nodes_per_zone: u8, seed: u64) -> Self {
+        let mut fleet = Self::new(zone_count, nodes_per_zone, seed);
         let seeds = fleet.zone_seeds();
-        for host in &mut fleet.hosts {
-            host.swim.add_seeds(&seeds_of_zone(&seeds, host.zone));
+        for node in &mut fleet.nodes {
+            node.swim.add_seeds(&seeds_of_zone(&seeds, node.zone));
         }
         fleet
     }
 
-    /// What each zone leaves for nodes that start.
+    /// Seeds that each zone publishes for nodes that start.
     pub fn zone_seeds(&self) -> Vec<(u8, SocketAddr)> {
         let mut seeds = Vec::new();
-        for host in &self.hosts {
-            let zone = host.zone;
+        for node in &self.nodes {
+            let zone = node.zone;
             if seeds.iter().filter(|(other, _)| *other == zone).count() < SEEDS_PER_ZONE {
-                seeds.push((zone, host.address));
+                seeds.push((zone, node.address));
             }
         }
         seeds
@@ -165,12 +166,12 @@
 
     pub fn step(&mut self) {
         self.now_ms += STEP_MS;
-        for index in 0..self.hosts.len() {
-            if self.hosts[index].is_up {
+        for index in 0..self.nodes.len() {
+            if self.nodes[index].is_up {
                 let mut out = Vec::new();
                 let mut events = Vec::new();
-                let host = &mut self.hosts[index];
-                host.swim
+                let node = &mut self.nodes[index];
+                node.swim
                     .tick(self.now_ms, &mut self.rng, &mut out, &mut events);
                 self.take_events(index, events);
                 self.deliver(index, out);
@@ -179,30 +180,35 @@
     }
 
     pub fn deliver(&mut self, sender: usize, out: Vec<Outgoing>) {
-        let mut queue: Vec<(usize, Outgoing)> = out.into_iter().map(|o| (sender, o)).collect();
+        let mut queue: Vec<(usize, Outgoing)> =
+            out.into_iter().map(|outgoing| (sender, outgoing)).collect();
         while let Some((from, outgoing)) = queue.pop() {
             self.sent_count += 1;
             self.record_count += outgoing.packet.updates.len();
-            let Some(to) = self.hosts.iter().position(|h| h.address == outgoing.to) else {
+            let Some(to) = self
+                .nodes
+                .iter()
+                .position(|node| node.address == outgoing.to)
+            else {
                 continue;
             };
             self.sent
-                .push((self.hosts[from].zone, self.hosts[to].zone, outgoing.clone()));
-            let is_far = self.hosts[from].zone != self.hosts[to].zone;
-            if is_far && outgoing.packet.kind != PacketKind::SyncPart {
-                self.far_news_count += outgoing.packet.updates.len();
+                .push((self.nodes[from].zone, self.nodes[to].zone, outgoing.clone()));
+            let is_cross_zone = self.nodes[from].zone != self.nodes[to].zone;
+            if is_cross_zone && outgoing.packet.kind != PacketKind::SyncPart {
+                self.cross_zone_record_count += outgoing.packet.updates.len();
             }
-            let is_cut = self
-                .cuts
-                .contains(&(self.hosts[from].zone, self.hosts[to].zone));
-            if is_cut || !self.hosts[to].is_up || self.rng.random_bool(self.loss_ratio) {
+            let is_blocked = self
+                .blocked_links
+                .contains(&(self.nodes[from].zone, self.nodes[to].zone));
+            if is_blocked || !self.nodes[to].is_up || self.rng.random_bool(self.loss_ratio) {
                 continue;
             }
-            let from_address = self.hosts[from].address;
+            let from_address = self.nodes[from].address;
             let mut replies = Vec::new();
             let mut events = Vec::new();
-            let host = &mut self.hosts[to];
-            host.swim.receive(
+            let node = &mut self.nodes[to];
+            node.swim.receive(
                 &outgoing.packet,
                 from_address,
                 self.now_ms,
@@ -211,64 +217,67 @@
                 &mut events,
             );
             self.take_events(to, events);
-            queue.extend(replies.into_iter().map(|o| (to, o)));
+            queue.extend(replies.into_iter().map(|outgoing| (to, outgoing)));
         }
     }
 
     pub fn take_events(&mut self, index: usize, events: Vec<SwimEvent>) {
-        let host = &mut self.hosts[index];
+        let node = &mut self.nodes[index];
         for event in events {
             match event {
-                SwimEvent::Stamp(stamp) => host.stamps.push(stamp),
-                SwimEvent::Revoked(digests) => host.revoked.extend(digests),
-                SwimEvent::Newer { versions, .. } if versions.exceed(&host.told) => {
-                    host.told = versions;
+                SwimEvent::Stamp(stamp) => node.stamps.push(stamp),
+                SwimEvent::Revoked(digests) => node.revoked.extend(digests),
+                SwimEvent::NewerVersions { versions, .. }
+                    if versions.exceed(&node.announced_versions) =>
+                {
+                    node.announced_versions = versions;
                 }
                 _ => {}
             }
         }
-        if let Some(view) = host.swim.take_view() {
-            host.view = view;
+        if let Some(view) = node.swim.take_view() {
+            node.view = view;
         }
     }
 
-    /// Each host fetches the versions that it was told of in the last step.
+    /// Each node fetches the versions that were announced to it in the last
+    /// step.
     pub fn fetch_versions(&mut self) {
-        for index in 0..self.hosts.len() {
-            let host = &self.hosts[index];
-            if host.told.exceed(&host.state.versions) {
-                let versions = host.told;
+        for index in 0..self.nodes.len() {
+            let node = &self.nodes[index];
+            if node.announced_versions.exceed(&node.state.versions) {
+                let versions = node.announced_versions;
                 let state = OwnState {
                     versions,
-                    ..host.state.clone()
+                    ..node.state.clone()
                 };
                 self.set_state(index, state);
             }
         }
     }
 
-    /// First relays look at the platform; the others take over what replies
-    /// to their own probes say.
-    pub fn look_and_learn(&mut self) {
-        for index in 0..self.hosts.len() {
-            let host = &self.hosts[index];
+    /// First relays poll the platform; the others adopt the poll times in
+    /// replies to their own probes.
+    pub fn poll_and_propagate(&mut self) {
+        for index in 0..self.nodes.len() {
+            let node = &self.nodes[index];
             let (node_id, zone) = (
-                format!("n{}-{}", host.zone, host.ip_end()),
-                host.zone_name(),
+                format!("n{}-{}", node.zone, node.last_octet()),
+                node.zone_name(),
             );
-            let told_ms = host
+            let reported_ms = node
                 .stamps
                 .iter()
                 .filter_map(|stamp| stamp.platform_seen_ms);
-            let mut seen_ms = told_ms.max().max(host.state.platform_seen_ms);
-            let is_look_due = self.now_ms.is_multiple_of(1_000);
-            if is_look_due && relay_rank(&host.view, &zone, &node_id) == Some(0) {
-                seen_ms = Some(self.now_ms);
+            let mut polled_ms = reported_ms.max().max(node.state.platform_seen_ms);
+            let is_poll_due = self.now_ms.is_multiple_of(1_000);
+            if is_poll_due && relay_rank(&node.view, &zone, &node_id) == Some(0) {
+                polled_ms = Some(self.now_ms);
             }
-            if seen_ms != host.state.platform_seen_ms {
+            if polled_ms != node.state.platform_seen_ms {
                 let state = OwnState {
-                    platform_seen_ms: seen_ms,
-                    ..host.state.clone()
+                    platform_seen_ms: polled_ms,
+                    ..node.state.clone()
                 };
                 self.set_state(index, state);
             }
@@ -276,16 +285,17 @@
     }
 
     pub fn set_state(&mut self, index: usize, state: OwnState) {
-        self.hosts[index].state = state.clone();
+        self.nodes[index].state = state.clone();
         let mut out = Vec::new();
-        self.hosts[index]
+        self.nodes[index]
             .swim
             .set_own_state(state, self.now_ms, &mut self.rng, &mut out);
         self.take_events(index, Vec::new());
         self.deliver(index, out);
     }
 
-    /// Steps until the condition holds; the steps taken, or a panic.
+    /// Steps until the condition holds and returns the elapsed time; panics at
+    /// the limit.
     pub fn run_until(&mut self, limit_ms: u64, condition: impl Fn(&Self) -> bool) -> u64 {
         let start_ms = self.now_ms;
         while !condition(self) {
@@ -298,26 +308,26 @@
         self.now_ms - start_ms
     }
 
-    /// Name of a host.
-    pub fn name(&self, host: usize) -> String {
-        let host = &self.hosts[host];
-        format!("n{}-{}", host.zone, host.ip_end())
+    /// Node id of a node.
+    pub fn node_id(&self, node: usize) -> String {
+        let node = &self.nodes[node];
+        format!("n{}-{}", node.zone, node.last_octet())
     }
 
     pub fn all_see_each_other(&self) -> bool {
-        let count = self.hosts.iter().filter(|host| host.is_up).count();
-        self.hosts.iter().filter(|host| host.is_up).all(|host| {
-            host.view
+        let count = self.nodes.iter().filter(|node| node.is_up).count();
+        self.nodes.iter().filter(|node| node.is_up).all(|node| {
+            node.view
                 .members
                 .iter()
-                .filter(|m| m.state == MemberState::Alive)
+                .filter(|member| member.state == MemberState::Alive)
                 .count()
                 == count
         })
     }
 
-    pub fn state_at(&self, observer: usize, node_id: &str) -> Option<MemberState> {
-        self.hosts[observer]
+    pub fn member_state(&self, observer: usize, node_id: &str) -> Option<MemberState> {
+        self.nodes[observer]
             .view
             .member(node_id)
             .map(|member| member.state)
