--- a/src/node/admission_table.rs
+++ b/src/node/admission_table.rs
@@ -1,4 +1,4 @@
-//! Admission at the own target: the policy and those who wait for it.
+//! Admission at the local target: the policy and the requests that wait for it.
 
 use {
     super::{Node, Policies},
@@ -12,41 +12,41 @@
     tokio::sync::oneshot,
 };
 
-/// Time from the start of a drain in which arriving work is still admitted,
-/// while others learn of it.
+/// Time from the start of a drain in which arriving requests are still admitted,
+/// while the drain propagates to other nodes.
 ///
-/// Refusing at once would spend the retries of every request that others have
-/// already sent here, and callers would see refusals in a planned stop.
+/// Refusing at once would use up retries of every request that other nodes have
+/// already sent, and callers would see refusals during a planned shutdown.
 pub const DRAIN_ANNOUNCE_US: u64 = 1_000_000;
-/// Time from the start of a drain in which queued work may still start. A
-/// departing target may get no new work after 2 s; what still waits is refused
-/// as not run and sent elsewhere.
+/// Time from the start of a drain in which queued requests may still start. A
+/// departing target must not receive new work after 2 s; requests that still wait
+/// are refused as not run and sent to other targets.
 const DRAIN_QUEUE_US: u64 = 1_500_000;
 
-type Verdict = Result<(), Refusal>;
+type AdmissionResult = Result<(), Refusal>;
 
-/// The admission policy with the requests that wait for its decision.
+/// The admission policy and the requests that wait for its decision.
 pub struct AdmissionTable<A> {
     policy: Option<A>,
-    // Tells tickets of a policy from those of its predecessor: after a restart
-    // of the target, a late end would otherwise free a stranger's place.
+    // Distinguishes tickets of this policy from those of the previous one: after a
+    // restart of the target, a late end would otherwise free another request's slot.
     epoch: u64,
-    waiting: HashMap<TicketKey, oneshot::Sender<Verdict>>,
+    waiting: HashMap<TicketKey, oneshot::Sender<AdmissionResult>>,
     decisions: Vec<Decision>,
     drain: Option<Drain>,
 }
 
-/// How far a drain has come.
+/// Progress of a drain.
 #[derive(Debug, Clone, Copy)]
 struct Drain {
-    begun_us: u64,
+    started_us: u64,
     refuses_arrivals: bool,
-    refused_waiting: bool,
+    has_refused_waiting: bool,
 }
 
-enum Arrived {
+enum ArrivalState {
     Started(TicketKey),
-    Waits(TicketKey, oneshot::Receiver<Verdict>),
+    Queued(TicketKey, oneshot::Receiver<AdmissionResult>),
 }
 
 impl<A: AdmissionPolicy> Default for AdmissionTable<A> {
@@ -56,7 +56,7 @@
 }
 
 impl<A: AdmissionPolicy> AdmissionTable<A> {
-    /// A table without a target.
+    /// Creates a table without a target.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -68,10 +68,10 @@
         }
     }
 
-    /// The target announced itself.
+    /// Records the size that the target announced.
     pub fn set_size(&mut self, size: TargetSize, restarted: bool, now_us: u64) {
-        // A policy that has drained stays so; a target that works again needs
-        // a new one.
+        // Draining a policy is final; a target that restarts after a drain needs a
+        // new one.
         if self.policy.is_none() || (restarted && self.drain.is_some()) {
             self.epoch += 1;
             self.waiting.clear();
@@ -82,35 +82,35 @@
         }
     }
 
-    /// The target reported its load.
+    /// Records a load report of the target.
     pub fn report(&mut self, report: LoadReport) {
         if let Some(policy) = &mut self.policy {
             policy.report(report);
         }
     }
 
-    /// Begins to drain: told upstream at once; a little later what arrives is
-    /// refused, and at last what still waits.
+    /// Starts to drain, which is propagated upstream at once. Arriving requests are
+    /// refused after [`DRAIN_ANNOUNCE_US`], queued ones after `DRAIN_QUEUE_US`.
     pub fn drain(&mut self, now_us: u64) {
         self.drain.get_or_insert(Drain {
-            begun_us: now_us,
+            started_us: now_us,
             refuses_arrivals: false,
-            refused_waiting: false,
+            has_refused_waiting: false,
         });
     }
 
-    /// Refuses all that waits, as not run; what arrives later is admitted.
+    /// Refuses all queued requests as not run; later arrivals are still admitted.
     pub fn refuse_waiting(&mut self, now_us: u64) {
         self.with_policy(|policy, decisions| policy.refuse_waiting(now_us, decisions));
     }
 
-    /// Regular look at queues and limits.
+    /// Updates queues and limits; called on every tick.
     pub fn tick(&mut self, now_us: u64) {
-        self.go_on_draining(now_us);
+        self.advance_drain(now_us);
         self.with_policy(|policy, decisions| policy.tick(now_us, decisions));
     }
 
-    /// Level that answers to requests of this class carry upstream.
+    /// Admission level propagated upstream in responses to requests of this class.
     #[must_use]
     pub fn level(&self, class: Class, now_us: u64) -> AdmissionLevel {
         let policy = self.policy.as_ref();
@@ -120,7 +120,7 @@
         level
     }
 
-    /// Requests that run and that wait.
+    /// Numbers of running and of queued requests.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         self.policy.as_ref().map_or((0, 0), |policy| {
@@ -128,16 +128,16 @@
         })
     }
 
-    fn go_on_draining(&mut self, now_us: u64) {
+    fn advance_drain(&mut self, now_us: u64) {
         let Some(drain) = &mut self.drain else {
             return;
         };
-        let passed_us = now_us.saturating_sub(drain.begun_us);
-        let begins_refusing = passed_us >= DRAIN_ANNOUNCE_US && !drain.refuses_arrivals;
-        let ends_queue = passed_us >= DRAIN_QUEUE_US && !drain.refused_waiting;
-        drain.refuses_arrivals |= begins_refusing;
-        drain.refused_waiting |= ends_queue;
-        if begins_refusing {
+        let elapsed_us = now_us.saturating_sub(drain.started_us);
+        let starts_refusing = elapsed_us >= DRAIN_ANNOUNCE_US && !drain.refuses_arrivals;
+        let ends_queue = elapsed_us >= DRAIN_QUEUE_US && !drain.has_refused_waiting;
+        drain.refuses_arrivals |= starts_refusing;
+        drain.has_refused_waiting |= ends_queue;
+        if starts_refusing {
             self.with_policy(|policy, _| policy.drain());
         }
         if ends_queue {
@@ -145,40 +145,40 @@
         }
     }
 
-    fn arrive(&mut self, arrival: Arrival, now_us: u64) -> Result<Arrived, Refusal> {
-        self.go_on_draining(now_us);
+    fn arrive(&mut self, arrival: Arrival, now_us: u64) -> Result<ArrivalState, Refusal> {
+        self.advance_drain(now_us);
         let Some(policy) = &mut self.policy else {
             return Err(Refusal::not_run(Reason::NoTarget));
         };
         let ticket = policy.arrive(arrival, now_us, &mut self.decisions);
-        let mut own = None;
+        let mut own_result = None;
         for decision in self.decisions.drain(..) {
-            let (key, verdict) = verdict_of(decision);
+            let (key, admission_result) = split_decision(decision);
             if key == ticket {
-                own = Some(verdict);
+                own_result = Some(admission_result);
             } else if let Some(waiter) = self.waiting.remove(&key) {
-                let _ = waiter.send(verdict);
+                let _ = waiter.send(admission_result);
             }
         }
-        match own {
-            Some(Ok(())) => Ok(Arrived::Started(ticket)),
+        match own_result {
+            Some(Ok(())) => Ok(ArrivalState::Started(ticket)),
             Some(Err(refusal)) => Err(refusal),
             None => {
                 let (sender, receiver) = oneshot::channel();
                 self.waiting.insert(ticket, sender);
-                Ok(Arrived::Waits(ticket, receiver))
+                Ok(ArrivalState::Queued(ticket, receiver))
             }
         }
     }
 
     fn end(&mut self, ticket: TicketKey, result: TargetResult, now_us: u64) {
-        // After a suspension an end may come before the next tick; it would
-        // start work at a target that left long ago.
-        self.go_on_draining(now_us);
+        // After the process was suspended, an end may come before the next tick. It
+        // would start queued work at a target that departed long ago.
+        self.advance_drain(now_us);
         self.with_policy(|policy, decisions| policy.end(ticket, result, now_us, decisions));
     }
 
-    /// Whether the ticket was still waiting.
+    /// Removes a queued request; returns whether it was still queued.
     fn withdraw(&mut self, ticket: TicketKey, now_us: u64) -> bool {
         if self.waiting.remove(&ticket).is_none() {
             return false;
@@ -187,47 +187,46 @@
         true
     }
 
-    fn with_policy(&mut self, step: impl FnOnce(&mut A, &mut Vec<Decision>)) {
+    fn with_policy(&mut self, update: impl FnOnce(&mut A, &mut Vec<Decision>)) {
         let Some(policy) = &mut self.policy else {
             return;
         };
-        step(policy, &mut self.decisions);
+        update(policy, &mut self.decisions);
         for decision in self.decisions.drain(..) {
-            let (key, verdict) = verdict_of(decision);
+            let (key, admission_result) = split_decision(decision);
             if let Some(waiter) = self.waiting.remove(&key) {
-                let _ = waiter.send(verdict);
+                let _ = waiter.send(admission_result);
             }
         }
     }
 }
 
-fn verdict_of(decision: Decision) -> (TicketKey, Verdict) {
+fn split_decision(decision: Decision) -> (TicketKey, AdmissionResult) {
     match decision {
         Decision::Start(key) => (key, Ok(())),
         Decision::Refuse(key, refusal) => (key, Err(refusal)),
     }
 }
 
-/// A request at the own target, from its arrival to its end.
+/// A request at the local target, from its arrival to its end.
 ///
-/// Dropping it withdraws a request that waits and ends one that runs as
-/// cancelled.
+/// Dropping it withdraws a queued request and ends a running one as cancelled.
 pub struct Ticket<P: Policies> {
     node: Arc<Node<P>>,
     key: TicketKey,
     epoch: u64,
-    waiting: Option<oneshot::Receiver<Verdict>>,
-    ended: bool,
+    pending_result: Option<oneshot::Receiver<AdmissionResult>>,
+    is_finished: bool,
 }
 
 impl<P: Policies> Ticket<P> {
-    /// The started request ended.
+    /// Records that the running request ended.
     pub fn end(mut self, result: TargetResult) {
         self.finish(result);
     }
 
     fn finish(&mut self, result: TargetResult) {
-        if std::mem::replace(&mut self.ended, true) {
+        if std::mem::replace(&mut self.is_finished, true) {
             return;
         }
         let now_us = self.node.timer.now_us();
@@ -237,16 +236,16 @@
         }
     }
 
-    fn give_up(&mut self, mut verdict: oneshot::Receiver<Verdict>) {
-        self.ended = true;
+    fn withdraw_or_cancel(&mut self, mut pending_result: oneshot::Receiver<AdmissionResult>) {
+        self.is_finished = true;
         let now_us = self.node.timer.now_us();
         let mut table = self.node.admission();
         if table.epoch != self.epoch || table.withdraw(self.key, now_us) {
             return;
         }
-        // Decided in the meantime. A start that nobody takes up would hold
-        // its slot for good.
-        if verdict.try_recv() == Ok(Ok(())) {
+        // Decided in the meantime. A start that is not used would occupy its slot
+        // forever.
+        if pending_result.try_recv() == Ok(Ok(())) {
             table.end(self.key, TargetResult::Cancelled, now_us);
         }
     }
@@ -254,8 +253,8 @@
 
 impl<P: Policies> Drop for Ticket<P> {
     fn drop(&mut self) {
-        match self.waiting.take() {
-            Some(verdict) => self.give_up(verdict),
+        match self.pending_result.take() {
+            Some(pending_result) => self.withdraw_or_cancel(pending_result),
             None => self.finish(TargetResult::Cancelled),
         }
     }
@@ -267,34 +266,34 @@
     arrival: Arrival,
 ) -> Result<Ticket<P>, Refusal> {
     let now_us = node.timer.now_us();
-    let (arrived, epoch) = {
+    let (arrival_state, epoch) = {
         let mut table = node.admission();
         (table.arrive(arrival, now_us)?, table.epoch)
     };
-    let (key, waiting) = match arrived {
-        Arrived::Started(key) => (key, None),
-        Arrived::Waits(key, receiver) => (key, Some(receiver)),
+    let (key, pending_result) = match arrival_state {
+        ArrivalState::Started(key) => (key, None),
+        ArrivalState::Queued(key, receiver) => (key, Some(receiver)),
     };
     let mut ticket = Ticket {
         node: Arc::clone(node),
         key,
         epoch,
-        waiting,
-        ended: false,
+        pending_result,
+        is_finished: false,
     };
-    let Some(verdict) = &mut ticket.waiting else {
+    let Some(pending_result) = &mut ticket.pending_result else {
         return Ok(ticket);
     };
     let limit = Duration::from_micros(arrival.deadline_us.saturating_sub(now_us));
-    let verdict = tokio::time::timeout(limit, verdict).await;
-    match verdict {
+    let admission_result = tokio::time::timeout(limit, pending_result).await;
+    match admission_result {
         Err(_) => Err(Refusal::not_run(Reason::TooLate)),
-        Ok(decided) => {
-            ticket.waiting = None;
-            match decided.unwrap_or(Err(Refusal::not_run(Reason::Draining))) {
+        Ok(decision) => {
+            ticket.pending_result = None;
+            match decision.unwrap_or(Err(Refusal::not_run(Reason::Draining))) {
                 Ok(()) => Ok(ticket),
                 Err(refusal) => {
-                    ticket.ended = true;
+                    ticket.is_finished = true;
                     Err(refusal)
                 }
             }
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that the own target works on, by the handle that it was given.
+//! Calls in progress at the local target, by their call handle.
 
 use {
     super::{Node, Policies},
@@ -11,89 +11,89 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// What a child call inherits.
+/// A call in progress; its child calls inherit these values.
 #[derive(Debug, Clone)]
 pub struct InFlightCall {
     /// The caller's original request.
     pub request_id: RequestId,
     /// Workspace.
     pub workspace: WorkspaceKey,
-    /// Digest of the key that the original request carried.
+    /// Digest of the tenant key of the original request.
     pub key: KeyDigest,
-    /// Importance.
+    /// Class of the request.
     pub class: Class,
-    /// End of the caller's patience.
+    /// Deadline of the caller, in microseconds of the node's timer.
     pub deadline_us: u64,
-    /// Hops above.
+    /// Number of hops from the original request.
     pub depth: u8,
-    /// Holder of its retry allotment.
+    /// Key of its retry allotment.
     pub retry: CallKey,
-    /// Cancelled when the call is over.
+    /// Cancelled when the call ends.
     pub over: CancellationToken,
-    /// A child failed for good; hops above may not repeat this call.
+    /// A child call exhausted its retries; this call must not be retried upstream.
     pub is_exhausted: bool,
 }
 
-/// Calls that the own target works on.
+/// Calls in progress at the local target.
 ///
-/// Handles are 128 random bits: a target cannot guess another call's handle,
-/// and so cannot act for another workspace.
+/// Handles are 128 random bits, so that a target cannot guess another call's handle
+/// and act for another workspace.
 #[derive(Debug, Default)]
 pub struct CallTable {
     calls: HashMap<u128, InFlightCall>,
 }
 
 impl CallTable {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The call of this handle, unless it is over.
+    /// The call with this handle, unless it has ended.
     #[must_use]
     pub fn get(&self, handle: u128) -> Option<InFlightCall> {
         self.calls.get(&handle).cloned()
     }
 
-    /// Marks that a child of this call failed for good.
+    /// Records that a child of this call exhausted its retries.
     pub fn mark_exhausted(&mut self, handle: u128) {
         if let Some(call) = self.calls.get_mut(&handle) {
             call.is_exhausted = true;
         }
     }
 
-    /// Calls in the table.
+    /// Number of calls in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether there is none.
+    /// Whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 }
 
-/// A call's entry in the table; its children die with it.
+/// A call's entry in the table. Dropping it ends the call and cancels its children.
 pub struct CallHandle<P: Policies> {
     node: Arc<Node<P>>,
     handle: u128,
-    over: bool,
+    is_finished: bool,
 }
 
-/// What is left of a call at its end.
+/// Result of a call that its parent needs.
 #[derive(Debug, Clone, Copy)]
 pub struct CallRemainder {
-    /// Retry allotment that goes back to the parent.
+    /// Unspent retry allotment, returned to the parent.
     pub unspent: u8,
-    /// A child failed for good.
+    /// A child call exhausted its retries.
     pub is_exhausted: bool,
 }
 
 impl<P: Policies> CallHandle<P> {
-    /// Enters a call under a new random handle.
+    /// Adds a call with a new random handle.
     #[must_use]
     pub fn new(node: &Arc<Node<P>>, call: InFlightCall) -> Self {
         let handle = rand::random();
@@ -101,11 +101,11 @@
         Self {
             node: Arc::clone(node),
             handle,
-            over: false,
+            is_finished: false,
         }
     }
 
-    /// The handle for the target.
+    /// Handle that is sent to the target.
     #[must_use]
     pub const fn handle(&self) -> u128 {
         self.handle
@@ -118,7 +118,7 @@
     }
 
     fn finish(&mut self) -> CallRemainder {
-        self.over = true;
+        self.is_finished = true;
         let Some(call) = self.node.calls().calls.remove(&self.handle) else {
             return CallRemainder {
                 unspent: 0,
@@ -135,7 +135,7 @@
 
 impl<P: Policies> Drop for CallHandle<P> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.is_finished {
             self.finish();
         }
     }
--- a/src/node/evacuation.rs
+++ b/src/node/evacuation.rs
@@ -1,13 +1,13 @@
-//! Evacuation of the own availability zone.
+//! Evacuation of this node's availability zone.
 
 use {
     super::{Node, Policies},
     std::sync::Arc,
 };
 
-/// Sends the own target nothing while its zone is evacuated. What waits for it
-/// is refused as not run, so that its callers' nodes send it elsewhere; what
-/// runs ends.
+/// Keeps the gate of the local target closed while its zone is evacuated. Queued
+/// requests are refused as not run, so that the sending nodes choose other targets;
+/// running requests complete.
 pub async fn follow_evacuations<P: Policies>(node: Arc<Node<P>>) {
     let mut evacuations = node.evacuations.clone();
     loop {
--- a/src/node/guarded.rs
+++ b/src/node/guarded.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be executed twice, by the home of their key.
+//! Executes keyed requests at most once, at the home of their idempotency key.
 
 use {
     super::{Node, Policies},
@@ -21,70 +21,76 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// When to come back if the key's home cannot be reached.
-const NO_HOME_RETRY_MS: u32 = 1000;
+/// Retry delay if the key's home is unreachable.
+const NO_HOME_RETRY_AFTER_MS: u32 = 1000;
 
-/// Where a key's history is kept.
+/// Node that keeps the history of an idempotency key.
 #[derives::value]
 #[derive(Eq)]
 pub enum Home {
-    /// On this node.
+    /// This node.
     Own,
-    /// On the node of this name.
+    /// The node with this name.
     Node(String),
 }
 
-/// At most one execution for each idempotency key.
+/// Allows at most one execution per idempotency key.
 pub trait KeyGuard: Send + Sync + 'static {
-    /// The key's home.
+    /// Returns the home of the key.
     fn home(&self, key: GuardKey) -> Result<Home, Refusal>;
 
-    /// Decides on a request at its home; refuses if this node is not it.
+    /// Decides about a request at its home; refuses if this node is not the home.
     fn begin(&self, call: KeyedRequest) -> Begin;
 
-    /// An execution that `begin` allowed has ended.
+    /// Records the end of an execution that `begin` allowed.
     fn finish(&self, key: GuardKey, finish: Finish);
 }
 
-/// Sends a call on its way: unrepeatable ones with a key by the key's home,
-/// all others straight to a target.
+/// Dispatches a call: unrepeatable calls with an idempotency key go through the home
+/// of the key, all others directly to a target.
 pub async fn dispatch<P: Policies>(
     node: &Arc<Node<P>>,
     call: &Call,
     outbound: &Outbound,
     idempotency_key: Option<&str>,
 ) -> Result<Answer, Refusal> {
-    let Some(text) = idempotency_key.filter(|_| !call.repeatable) else {
+    let Some(key_text) = idempotency_key.filter(|_| !call.repeatable) else {
         return run_attempts(node, call, outbound).await;
     };
-    let keyed = keyed_request(&node.names, (call.workspace, call.service), text, outbound);
+    let keyed = keyed_request(
+        &node.names,
+        (call.workspace, call.service),
+        key_text,
+        outbound,
+    );
     let home = node.guard.home(keyed.key)?;
     let remaining_us = call.deadline_us.saturating_sub(node.timer.now_us());
-    let loan = node.retries().allot_to_child(call.retry);
-    let context = context_of(call, remaining_us, loan.allotment);
-    let end = match home {
+    let child_allotment = node.retries().allot_to_child(call.retry);
+    let context = context_of(call, remaining_us, child_allotment.allotment);
+    let hop = match home {
         Home::Own => {
-            let (result, unspent) = execute(node, &context, outbound.clone(), text).await;
+            let (result, unspent) = execute_once(node, &context, outbound.clone(), key_text).await;
             HopResult {
                 result,
                 unspent,
                 level: None,
             }
         }
-        Home::Node(home) => send_home(node, &home, &context, outbound, remaining_us).await,
+        Home::Node(home) => send_to_home(node, &home, &context, outbound, remaining_us).await,
     };
-    node.retries().return_unspent(loan.key, end.unspent);
-    end.result
+    node.retries()
+        .return_unspent(child_allotment.key, hop.unspent);
+    hop.result
 }
 
-/// Serves a request that another node sent to this one as its key's home.
+/// Serves a request that another node sent to this one as the home of its key.
 pub async fn serve_at_home<P: Policies>(
     node: &Arc<Node<P>>,
     context: &RequestContext,
     outbound: Outbound,
 ) -> (Result<Answer, Refusal>, u8) {
     match check_idempotency_key(&outbound.headers) {
-        Ok(Some(text)) => execute(node, context, outbound, &text).await,
+        Ok(Some(key_text)) => execute_once(node, context, outbound, &key_text).await,
         Ok(None) | Err(_) => {
             let refusal = Refusal::not_run(Reason::BadRequest);
             (Err(refusal), context.retry_allotment)
@@ -92,14 +98,14 @@
     }
 }
 
-async fn send_home<P: Policies>(
+async fn send_to_home<P: Policies>(
     node: &Node<P>,
     home: &str,
     context: &RequestContext,
     outbound: &Outbound,
     remaining_us: u64,
 ) -> HopResult {
-    let no_home = Refusal::not_run(Reason::NoHome).with_retry_after_ms(NO_HOME_RETRY_MS);
+    let no_home = Refusal::not_run(Reason::NoHome).with_retry_after_ms(NO_HOME_RETRY_AFTER_MS);
     let link = node.routes().link(home);
     let Some(link) = link else {
         return HopResult::failed(no_home, context.retry_allotment);
@@ -112,31 +118,32 @@
         limit: Duration::from_micros(remaining_us),
         now_unix_ms: node.timer.steady_unix_ms(),
     };
-    let end = send(node, &link, attempt).await;
-    // Without a word from the home, nothing was sent: it could not be reached.
-    let is_unsent = matches!(&end.result, Err(refusal) if refusal.outcome == Outcome::NotRun);
-    if is_unsent && end.level.is_none() {
-        return HopResult::failed(no_home, end.unspent);
+    let hop = send(node, &link, attempt).await;
+    // A not-run refusal without an admission level does not come from the home: it
+    // was unreachable and nothing was sent.
+    let is_unsent = matches!(&hop.result, Err(refusal) if refusal.outcome == Outcome::NotRun);
+    if is_unsent && hop.level.is_none() {
+        return HopResult::failed(no_home, hop.unspent);
     }
-    end
+    hop
 }
 
-/// Executes at the home what the guard has not seen before.
+/// Executes a request at the home of its key, unless the guard has seen it before.
 ///
-/// The execution is a task of its own: a caller that goes away in the middle
-/// would leave an unknown outcome behind, and its resend could only be
-/// refused. This way the resend gets the answer.
-async fn execute<P: Policies>(
+/// The execution runs in its own task. Otherwise a caller that disconnects would
+/// leave an unknown outcome, and its resend could only be refused; now the resend
+/// receives the response.
+async fn execute_once<P: Policies>(
     node: &Arc<Node<P>>,
     context: &RequestContext,
     outbound: Outbound,
-    text: &str,
+    key_text: &str,
 ) -> (Result<Answer, Refusal>, u8) {
     let scope = (context.workspace, context.service);
-    let keyed = keyed_request(&node.names, scope, text, &outbound);
+    let keyed = keyed_request(&node.names, scope, key_text, &outbound);
     let key = keyed.key;
     match node.guard.begin(keyed) {
-        Begin::Replay(answer) => return (Ok(replayed(answer)), context.retry_allotment),
+        Begin::Replay(answer) => return (Ok(to_answer(answer)), context.retry_allotment),
         Begin::Refuse(refusal) => {
             let (id, reason) = (context.request_id, refusal.reason);
             if reason == Reason::NoHome {
@@ -146,12 +153,12 @@
         }
         Begin::Execute => {}
     }
-    let task = tokio::spawn(run(Arc::clone(node), *context, outbound, key));
-    let lost = (Err(Refusal::unknown(Reason::ConnectionLost)), 0);
-    task.await.unwrap_or(lost)
+    let task = tokio::spawn(run_execution(Arc::clone(node), *context, outbound, key));
+    let connection_lost = (Err(Refusal::unknown(Reason::ConnectionLost)), 0);
+    task.await.unwrap_or(connection_lost)
 }
 
-async fn run<P: Policies>(
+async fn run_execution<P: Policies>(
     node: Arc<Node<P>>,
     context: RequestContext,
     outbound: Outbound,
@@ -173,20 +180,20 @@
     };
     let result = run_attempts(&node, &call, &outbound).await;
     let unspent = node.retries().close(retry);
-    node.guard.finish(key, finish_of(&result));
+    node.guard.finish(key, to_finish(&result));
     (result, unspent)
 }
 
-fn finish_of(result: &Result<Answer, Refusal>) -> Finish {
+fn to_finish(result: &Result<Answer, Refusal>) -> Finish {
     match result {
-        Ok(answer) => stored(answer).map_or(Finish::Unknown, Finish::Answered),
+        Ok(answer) => to_stored_answer(answer).map_or(Finish::Unknown, Finish::Answered),
         Err(refusal) if refusal.outcome == Outcome::NotRun => Finish::NotRun,
         Err(_) => Finish::Unknown,
     }
 }
 
-/// The answer for resends, if it is held whole.
-fn stored(answer: &Answer) -> Option<StoredAnswer> {
+/// Converts a response for replay to resends, if it is fully buffered.
+fn to_stored_answer(answer: &Answer) -> Option<StoredAnswer> {
     let AnswerBody::Whole(Some(body)) = &answer.body else {
         return None;
     };
@@ -201,7 +208,7 @@
     })
 }
 
-fn replayed(stored: StoredAnswer) -> Answer {
+fn to_answer(stored: StoredAnswer) -> Answer {
     let mut headers = HeaderMap::new();
     for (name, value) in &stored.headers {
         let name = HeaderName::try_from(name.as_str());
@@ -213,20 +220,20 @@
     Answer::new(status, headers, AnswerBody::whole(stored.body))
 }
 
-/// A request by its key. Names are hashed instead of local keys, so that all
-/// nodes agree. The service is part of it, so that a target may pass the key
-/// that it was given on to its own calls. Whoever finds two texts of the same
-/// hash hurts its own workspace only.
+/// Builds the keyed request. It hashes names, not node-local keys, so that all nodes
+/// compute the same hash. The service is included so that a target may reuse the
+/// idempotency key for its own calls. A caller that finds two texts with the same
+/// hash affects only its own workspace.
 fn keyed_request(
     names: &Names,
     (workspace, service): (WorkspaceKey, ServiceKey),
-    text: &str,
+    key_text: &str,
     outbound: &Outbound,
 ) -> KeyedRequest {
     let workspace_name = names.workspace_name(workspace);
     let service_name = names.service_name(service);
     let scope = format!("{workspace_name}\0{service_name}");
-    KeyedRequest::new(workspace, &scope, text, fingerprint(outbound))
+    KeyedRequest::new(workspace, &scope, key_text, fingerprint(outbound))
 }
 
 fn fingerprint(outbound: &Outbound) -> u64 {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node: its tables, the systems that run over them, and its parts.
+//! A node: its state, the background tasks that update it, and request dispatch.
 
 mod admission_table;
 mod calls;
@@ -7,7 +7,7 @@
 mod loop_lag;
 mod route_table;
 mod start;
-mod systems;
+mod tasks;
 
 pub use {
     admission_table::{AdmissionTable, DRAIN_ANNOUNCE_US, Ticket, admit},
@@ -17,7 +17,7 @@
     loop_lag::LoopLag,
     route_table::{RouteTable, TargetLocation},
     start::{StartError, start},
-    systems::{follow_answers, follow_members, run_ticks},
+    tasks::{follow_members, follow_probe_responses, run_ticks},
 };
 
 use {
@@ -51,31 +51,31 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// Stands for "not cut off" in [`Node::cut_off_since_ms`].
+/// Value of [`Node::cut_off_since_ms`] while the node is not cut off.
 pub const NOT_CUT_OFF: u64 = u64::MAX;
 
-/// The decisions that vary, chosen once at start.
+/// Types of the replaceable policies, chosen once at start.
 pub trait Policies: Send + Sync + 'static {
-    /// Admission at the own target.
+    /// Admission at the local target.
     type Admission: AdmissionPolicy;
-    /// Choice of targets.
+    /// Selection of targets.
     type Routing: RoutePolicy;
-    /// Retries.
+    /// Limits on retries.
     type Retry: RetryPolicy;
     /// Rate and burst of workspaces.
     type Quota: QuotaGate;
-    /// At most one execution for each idempotency key.
+    /// At most one execution per idempotency key.
     type Guard: KeyGuard;
-    /// What callers and targets speak.
+    /// Protocol of callers and targets.
     type Dialect: Dialect;
 }
 
-/// A set of policies by type.
+/// A set of policies given as type parameters.
 #[derive(Debug)]
-pub struct PolicySet<A, R, T, Q, G, D = Native>(PhantomData<Choice<A, R, T, Q, G, D>>);
+pub struct PolicySet<A, R, T, Q, G, D = Native>(PhantomData<PolicyTypes<A, R, T, Q, G, D>>);
 
-/// A type that names the policies without holding any.
-type Choice<A, R, T, Q, G, D> = fn() -> (A, R, T, Q, G, D);
+/// Function type that names the policy types without owning values of them.
+type PolicyTypes<A, R, T, Q, G, D> = fn() -> (A, R, T, Q, G, D);
 
 impl<A, R, T, Q, G, D> Policies for PolicySet<A, R, T, Q, G, D>
 where
@@ -94,7 +94,7 @@
     type Dialect = D;
 }
 
-/// What a node is made of besides its policies.
+/// Inputs of [`Node::new`].
 #[derive(Debug)]
 pub struct NodeInputs<Q, G, D> {
     /// Checked settings.
@@ -107,26 +107,26 @@
     pub running: watch::Receiver<Arc<Running>>,
     /// Availability zones that get no work.
     pub evacuations: watch::Receiver<Arc<Evacuations>>,
-    /// Members as gossip knows them.
+    /// Members of the fleet as known by gossip.
     pub view: watch::Receiver<Arc<View>>,
-    /// Asks single members whether they live.
+    /// Probes the liveness of single members.
     pub probes: MemberProbes,
-    /// What gossip tells others about this node.
+    /// State of this node that gossip sends to other nodes.
     pub own_state: watch::Sender<OwnState>,
-    /// State of the knowledge of the platform.
+    /// Freshness of the data read from the platform.
     pub freshness: watch::Receiver<Snapshot>,
     /// Quota of workspaces.
     pub quota: Q,
     /// Guard of idempotency keys.
     pub guard: G,
-    /// What callers and targets speak.
+    /// Protocol of callers and targets.
     pub dialect: D,
 }
 
-/// One process of the fleet.
+/// The shared state of one node process.
 ///
-/// Each area of state has its own lock, held for single steps only and never
-/// while waiting.
+/// Each part of the state has its own lock, held only for short synchronous
+/// operations and never across an `await`.
 pub struct Node<P: Policies> {
     /// Checked settings.
     pub settings: Arc<Settings>,
@@ -136,33 +136,33 @@
     pub region: RegionKey,
     /// Timer service.
     pub timer: Timer,
-    /// Asks single members whether they live.
+    /// Probes the liveness of single members.
     pub probes: MemberProbes,
-    /// What gossip tells others about this node.
+    /// State of this node that gossip sends to other nodes.
     pub own_state: watch::Sender<OwnState>,
     /// Quota of workspaces.
     pub quota: P::Quota,
     /// Guard of idempotency keys.
     pub guard: P::Guard,
-    /// What callers and targets speak.
+    /// Protocol of callers and targets.
     pub dialect: P::Dialect,
     /// Counters for `/metrics`.
     pub metrics: Metrics,
-    /// Fleet secret at work.
+    /// Authenticates messages between nodes with the fleet secret.
     pub auth: FleetAuth,
-    /// Attempts that came from other nodes.
+    /// Ids of attempts received from other nodes.
     pub arrivals: SeenAttempts,
-    /// Connections to the own target.
+    /// Connections to the local target.
     pub target: Arc<TargetPool>,
-    /// Open connections of callers.
+    /// Number of open caller connections.
     pub caller_connection_count: Arc<AtomicUsize>,
-    /// Open connections of other nodes.
+    /// Number of open connections from other nodes.
     pub peer_connection_count: Arc<AtomicUsize>,
-    /// Ends the connections of callers.
+    /// Closes the caller connections.
     pub closing: CancellationToken,
-    /// Ends the connections of other nodes.
+    /// Closes the connections from other nodes.
     pub peers_closing: CancellationToken,
-    /// Ends everything.
+    /// Stops all tasks of the node.
     pub stopped: CancellationToken,
     running: watch::Receiver<Arc<Running>>,
     evacuations: watch::Receiver<Arc<Evacuations>>,
@@ -176,14 +176,14 @@
     downstream: Mutex<Downstream>,
     loop_lag: Mutex<LoopLag>,
     in_flight_count: AtomicUsize,
-    /// Wakes the systems when the first request comes.
-    work_begins: Notify,
+    /// Notifies [`run_ticks`] when the first request arrives at an idle node.
+    first_request_arrived: Notify,
     cut_off_since_ms: AtomicU64,
     drain: CancellationToken,
 }
 
 impl<P: Policies> Node<P> {
-    /// A node that does nothing yet.
+    /// Creates the state of a node; [`start`] starts its tasks.
     #[must_use]
     pub fn new(inputs: NodeInputs<P::Quota, P::Guard, P::Dialect>) -> Arc<Self> {
         let auth = FleetAuth::new(&inputs.settings.fleet_secret);
@@ -222,7 +222,7 @@
             downstream: Mutex::new(Downstream::new()),
             loop_lag: Mutex::new(LoopLag::new()),
             in_flight_count: AtomicUsize::new(0),
-            work_begins: Notify::new(),
+            first_request_arrived: Notify::new(),
             cut_off_since_ms: AtomicU64::new(NOT_CUT_OFF),
             drain: CancellationToken::new(),
         })
@@ -234,13 +234,13 @@
         Arc::clone(&self.running.borrow())
     }
 
-    /// Whether there is a configuration to serve by and quota to admit with.
+    /// Whether a configuration is in force and the quota can admit requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.running.borrow().revision > 0 && self.quota.is_ready()
     }
 
-    /// Regions in which a request may run, by the configuration in force here.
+    /// Regions in which a request may run, by this node's configuration in force.
     #[must_use]
     pub fn regions_of(&self, workspace: WorkspaceKey, outbound: &Outbound) -> RegionSet {
         let (host, path) = (outbound.host.as_deref(), outbound.path.path());
@@ -253,21 +253,22 @@
         Arc::clone(&self.evacuations.borrow())
     }
 
-    /// How far this node may rely on what it knows of the platform.
+    /// Current freshness of the data read from the platform.
     #[must_use]
     pub fn freshness(&self) -> Freshness {
         self.freshness.borrow().at(self.timer.now_ms())
     }
 
-    /// All members as gossip knows them.
+    /// All members of the fleet as known by gossip.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.view.borrow())
     }
 
-    /// Takes no new work from now on and tells everyone; running work ends.
+    /// Starts to drain: notifies the other nodes, then stops accepting new work while
+    /// running requests complete.
     ///
-    /// The one way in for SIGTERM and operators; `shutdown::run` carries it out.
+    /// Entry point for SIGTERM and operators; `shutdown::run` performs the drain.
     pub fn drain(&self) {
         if self.drain.is_cancelled() {
             return;
@@ -277,18 +278,18 @@
         self.drain.cancel();
     }
 
-    /// Whether a drain has begun.
+    /// Whether a drain has started.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.drain.is_cancelled()
     }
 
-    /// Waits until a drain begins.
+    /// Waits until a drain starts.
     pub async fn drain_begins(&self) {
         self.drain.cancelled().await;
     }
 
-    /// Whether nothing runs, waits or is still being written to a caller.
+    /// Whether no request runs or waits, is in flight, and no caller is connected.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let (running, waiting) = self.admission().counts();
@@ -296,12 +297,12 @@
         running + waiting + connections + self.in_flight_count() == 0
     }
 
-    /// Whether no request is in flight, so that no system has to run soon.
-    fn has_nothing_to_do(&self) -> bool {
+    /// Whether no request is in flight, so that ticks may be rare.
+    fn has_no_request_in_flight(&self) -> bool {
         self.in_flight_count() == 0
     }
 
-    /// Requests that this node works on in any role.
+    /// Number of requests that this node processes in any role.
     #[must_use]
     pub fn in_flight_count(&self) -> usize {
         self.in_flight_count.load(Ordering::Acquire)
@@ -311,23 +312,25 @@
     #[must_use]
     pub fn begin(self: &Arc<Self>) -> InFlightGuard<P> {
         if self.in_flight_count.fetch_add(1, Ordering::AcqRel) == 0 {
-            self.work_begins.notify_one();
+            self.first_request_arrived.notify_one();
         }
         InFlightGuard(Arc::clone(self))
     }
 
-    /// Since when this node has been cut off, or [`NOT_CUT_OFF`].
+    /// Time at which this node was cut off, in milliseconds of its timer, or
+    /// [`NOT_CUT_OFF`].
     #[must_use]
     pub fn cut_off_since_ms(&self) -> u64 {
         self.cut_off_since_ms.load(Ordering::Relaxed)
     }
 
-    /// Admission at the own target.
+    /// Admission at the local target.
     pub fn admission(&self) -> MutexGuard<'_, AdmissionTable<P::Admission>> {
-        locked(&self.admission)
+        lock(&self.admission)
     }
 
-    /// Level that answers of this node to requests of this class carry.
+    /// Admission level that this node propagates upstream in response headers to
+    /// requests of this class.
     #[must_use]
     pub fn level(&self, class: Class) -> AdmissionLevel {
         let now_us = self.timer.now_us();
@@ -342,42 +345,42 @@
         }
     }
 
-    /// Targets and their choice.
+    /// Known targets and the routing policy.
     pub fn routes(&self) -> MutexGuard<'_, RouteTable<P::Routing>> {
-        locked(&self.routes)
+        lock(&self.routes)
     }
 
     /// Retry allotments.
     pub fn retries(&self) -> MutexGuard<'_, P::Retry> {
-        locked(&self.retries)
+        lock(&self.retries)
     }
 
-    /// How the calls of the own target fare.
+    /// Load and failures of the local target's downstream calls.
     pub fn downstream(&self) -> MutexGuard<'_, Downstream> {
-        locked(&self.downstream)
+        lock(&self.downstream)
     }
 
-    /// How late this node's thread is.
+    /// Lag of this node's thread.
     pub fn loop_lag(&self) -> MutexGuard<'_, LoopLag> {
-        locked(&self.loop_lag)
+        lock(&self.loop_lag)
     }
 
-    /// Processes of the own target.
+    /// Registration of the local target's process.
     pub fn registration(&self) -> MutexGuard<'_, Registration> {
-        locked(&self.registration)
+        lock(&self.registration)
     }
 
-    /// Calls that the own target works on.
+    /// Calls in progress at the local target.
     pub fn calls(&self) -> MutexGuard<'_, CallTable> {
-        locked(&self.calls)
+        lock(&self.calls)
     }
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("lock is not poisoned")
 }
 
-/// Counts a request as in flight while it lives.
+/// Counts a request as in flight until dropped.
 pub struct InFlightGuard<P: Policies>(Arc<Node<P>>);
 
 impl<P: Policies> Drop for InFlightGuard<P> {
--- a/src/node/route_table.rs
+++ b/src/node/route_table.rs
@@ -1,4 +1,4 @@
-//! Targets of the fleet: the routing policy and the ways to them.
+//! Known targets of the fleet: the routing policy and how each target is reached.
 
 use {
     crate::{
@@ -18,29 +18,29 @@
     },
 };
 
-/// Way to a target.
+/// How a target is reached.
 #[derive(Debug, Clone)]
 pub enum TargetLocation {
-    /// Beside this node.
+    /// The local target of this node.
     Own,
-    /// Beside another node.
+    /// Through another node.
     Peer(Arc<PeerLink>),
 }
 
-/// What a node knows of where work may go.
+/// Inputs from which a node builds its route table.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetState<'a> {
     /// All members.
     pub view: &'a View,
-    /// What this node tells of itself.
+    /// State that this node announces.
     pub own: &'a OwnState,
     /// Availability zones that get no work.
     pub evacuations: &'a Evacuations,
 }
 
-/// Tells a restart in place from the same process.
+/// Distinguishes a restarted process at the same address from the earlier one.
 #[derives::key]
-struct Identity {
+struct NodeIdentity {
     address: SocketAddr,
     started_unix_ms: u64,
 }
@@ -49,16 +49,16 @@
 struct Row {
     target: TargetKey,
     info: TargetInfo,
-    identity: Identity,
-    place: TargetLocation,
+    identity: NodeIdentity,
+    location: TargetLocation,
 }
 
-/// The routing policy with the nodes of its targets.
+/// The routing policy and the nodes of its targets.
 #[derive(Debug)]
 pub struct RouteTable<R> {
     policy: R,
     rows: BTreeMap<String, Row>,
-    links: HashMap<String, (Identity, Arc<PeerLink>)>,
+    links: HashMap<String, (NodeIdentity, Arc<PeerLink>)>,
     nodes: HashMap<TargetKey, String>,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl<R: RoutePolicy> RouteTable<R> {
-    /// A table without targets.
+    /// Creates a table without targets.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -80,36 +80,36 @@
         }
     }
 
-    /// The policy, to tell it how attempts ended.
+    /// The policy, to record results of attempts.
     pub const fn policy(&mut self) -> &mut R {
         &mut self.policy
     }
 
-    /// Picks a target and the way to it.
+    /// Picks a target and returns how it is reached.
     pub fn pick(
         &mut self,
-        wanted: RouteRequest,
+        request: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
     ) -> Result<(TargetKey, TargetLocation), Refusal> {
-        let target = self.policy.pick(wanted, tried, now_us, &mut rand::rng())?;
+        let target = self.policy.pick(request, tried, now_us, &mut rand::rng())?;
         let row = self.nodes.get(&target).and_then(|node| self.rows.get(node));
-        let place = row.map(|row| row.place.clone());
-        if let Some(TargetLocation::Peer(link)) = &place {
+        let location = row.map(|row| row.location.clone());
+        if let Some(TargetLocation::Peer(link)) = &location {
             link.set_silent(false);
         }
-        place
-            .map(|place| (target, place))
+        location
+            .map(|location| (target, location))
             .ok_or(Refusal::not_run(crate::model::Reason::NoTarget))
     }
 
-    /// Way to a node, whether or not it has a target.
+    /// Link to a node, whether or not it has a target.
     #[must_use]
     pub fn link(&self, node: &str) -> Option<Arc<PeerLink>> {
         self.links.get(node).map(|(_, link)| Arc::clone(link))
     }
 
-    /// Targets of a service that may get work.
+    /// Number of targets of a service that accept work.
     #[must_use]
     pub fn target_count(&self, service: ServiceKey) -> usize {
         self.rows
@@ -118,14 +118,14 @@
             .count()
     }
 
-    /// Name of the node beside a target.
+    /// Name of the target's node.
     #[must_use]
     pub fn node_of(&self, target: TargetKey) -> &str {
         self.nodes.get(&target).map_or("", String::as_str)
     }
 
-    /// The node of this name was heard.
-    pub fn heard(&mut self, node: &str, now_us: u64) {
+    /// Records a response of the node with this name.
+    pub fn record_response(&mut self, node: &str, now_us: u64) {
         let Some(row) = self.rows.get(node) else {
             return;
         };
@@ -134,31 +134,32 @@
         }
     }
 
-    /// Regular look at nodes that do not answer; returns those to ask whether
-    /// they live.
-    pub fn unheard(&mut self, now_us: u64) -> Vec<String> {
-        let unheard = self.policy.check_silence(now_us);
-        let mut asked = Vec::new();
-        for target in unheard.to_probe {
+    /// Checks for nodes that do not respond and returns those to probe; called on
+    /// every tick.
+    pub fn check_silence(&mut self, now_us: u64) -> Vec<String> {
+        let silence = self.policy.check_silence(now_us);
+        let mut to_probe = Vec::new();
+        for target in silence.to_probe {
             let node = self.node_of(target).to_owned();
-            match self.rows.get(&node).map(|row| &row.place) {
-                Some(TargetLocation::Peer(_)) => asked.push(node),
+            match self.rows.get(&node).map(|row| &row.location) {
+                Some(TargetLocation::Peer(_)) => to_probe.push(node),
                 Some(TargetLocation::Own) | None => {
                     self.policy.record_response(target, now_us);
                 }
             }
         }
-        for target in unheard.newly_silent {
+        for target in silence.newly_silent {
             let node = self.node_of(target).to_owned();
             event!(Event::NodeSilent, "node={node}");
-            if let Some(TargetLocation::Peer(link)) = self.rows.get(&node).map(|row| &row.place) {
+            if let Some(TargetLocation::Peer(link)) = self.rows.get(&node).map(|row| &row.location)
+            {
                 link.set_silent(true);
             }
         }
-        asked
+        to_probe
     }
 
-    /// Regular look at ejected targets.
+    /// Updates ejected targets; called on every tick.
     pub fn tick(&mut self, now_us: u64) {
         for (target, is_ejected) in self.policy.tick(now_us) {
             let node = self.node_of(target);
@@ -170,10 +171,10 @@
         }
     }
 
-    /// Takes over what membership knows; targets of evacuated zones get nothing.
+    /// Updates the targets from membership; targets of evacuated zones get no work.
     pub fn sync(
         &mut self,
-        known: FleetState<'_>,
+        fleet: FleetState<'_>,
         settings: &Settings,
         names: &Names,
         starts_slowly: bool,
@@ -183,21 +184,21 @@
             view,
             own,
             evacuations,
-        } = known;
+        } = fleet;
         self.sync_links(view, settings);
-        let mut gone: Vec<String> = self.rows.keys().cloned().collect();
+        let mut removed_nodes: Vec<String> = self.rows.keys().cloned().collect();
         for member in &view.members {
             if member.node_id == settings.node_id {
                 continue;
             }
-            let Some(target) = member.target.as_ref().filter(|_| takes_part(member.state)) else {
+            let Some(target) = member.target.as_ref().filter(|_| is_in_fleet(member.state)) else {
                 continue;
             };
             let info = TargetInfo {
                 draining: target.draining
                     || member.state == MemberState::Draining
                     || evacuations.contains(&member.zone),
-                ..info_of(
+                ..target_info(
                     target,
                     (names.zone(&member.zone), names.region(&member.region)),
                     distance(settings, member),
@@ -205,14 +206,14 @@
                     names,
                 )
             };
-            let identity = identity_of(member);
-            gone.retain(|node| *node != member.node_id);
-            self.put(&member.node_id, info, identity, now_us);
+            let identity = member_identity(member);
+            removed_nodes.retain(|node| *node != member.node_id);
+            self.upsert(&member.node_id, info, identity, now_us);
         }
         if let Some(target) = &own.target {
             let info = TargetInfo {
                 draining: target.draining || own.draining || evacuations.contains(&settings.zone),
-                ..info_of(
+                ..target_info(
                     target,
                     (names.zone(&settings.zone), names.region(&settings.region)),
                     Distance::SameZone,
@@ -220,29 +221,29 @@
                     names,
                 )
             };
-            let identity = Identity {
+            let identity = NodeIdentity {
                 address: SocketAddr::new(settings.reachable_ip(), settings.peer_port),
                 started_unix_ms: 0,
             };
-            gone.retain(|node| *node != settings.node_id);
-            self.put(&settings.node_id, info, identity, now_us);
+            removed_nodes.retain(|node| *node != settings.node_id);
+            self.upsert(&settings.node_id, info, identity, now_us);
         }
-        for node in gone {
+        for node in removed_nodes {
             self.remove(&node);
         }
     }
 
-    /// Links to all other members, so that no row of another node lacks one.
+    /// Keeps a link to every other member, so that each row of another node has one.
     fn sync_links(&mut self, view: &View, settings: &Settings) {
-        let others = view
+        let other_members = view
             .members
             .iter()
-            .filter(|member| member.node_id != settings.node_id && takes_part(member.state));
+            .filter(|member| member.node_id != settings.node_id && is_in_fleet(member.state));
         let mut links = HashMap::new();
-        for member in others {
-            let identity = identity_of(member);
+        for member in other_members {
+            let identity = member_identity(member);
             let link = match self.links.remove(&member.node_id) {
-                Some((known, link)) if known == identity => link,
+                Some((link_identity, link)) if link_identity == identity => link,
                 _ => PeerLink::new(settings.ip, identity.address),
             };
             links.insert(member.node_id.clone(), (identity, link));
@@ -250,7 +251,7 @@
         self.links = links;
     }
 
-    fn put(&mut self, node: &str, info: TargetInfo, identity: Identity, now_us: u64) {
+    fn upsert(&mut self, node: &str, info: TargetInfo, identity: NodeIdentity, now_us: u64) {
         if let Some(row) = self.rows.get_mut(node) {
             if row.identity == identity && row.info.service == info.service {
                 if row.info != info {
@@ -261,7 +262,7 @@
             }
             self.remove(node);
         }
-        let place = match self.links.get(node) {
+        let location = match self.links.get(node) {
             Some((_, link)) => TargetLocation::Peer(Arc::clone(link)),
             None => TargetLocation::Own,
         };
@@ -271,7 +272,7 @@
             target,
             info,
             identity,
-            place,
+            location,
         };
         self.rows.insert(node.to_owned(), row);
     }
@@ -284,18 +285,18 @@
     }
 }
 
-const fn identity_of(member: &Member) -> Identity {
-    Identity {
+const fn member_identity(member: &Member) -> NodeIdentity {
+    NodeIdentity {
         address: member.peer_address(),
         started_unix_ms: member.started_unix_ms,
     }
 }
 
-const fn takes_part(state: MemberState) -> bool {
+const fn is_in_fleet(state: MemberState) -> bool {
     !matches!(state, MemberState::Left | MemberState::Dead)
 }
 
-fn info_of(
+fn target_info(
     target: &Announcement,
     (zone, region): (ZoneKey, RegionKey),
     distance: Distance,
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -1,7 +1,9 @@
-//! Starts the parts of a node that serve HTTP.
+//! Starts the HTTP listeners and background tasks of a node.
 
 use {
-    super::{Node, Policies, follow_answers, follow_evacuations, follow_members, run_ticks},
+    super::{
+        Node, Policies, follow_evacuations, follow_members, follow_probe_responses, run_ticks,
+    },
     crate::{
         control::serve_admin, egress::serve_egress, event, events::Event, exchange::bind,
         ingress::serve_callers, peer::serve_peers, shutdown,
@@ -11,30 +13,30 @@
     tokio_util::task::TaskTracker,
 };
 
-/// A port could not be listened on.
+/// A listening socket could not be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen on {address} for {purpose}: {source}")]
 pub struct StartError {
-    /// The address.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// What for.
+    /// Clients that the listener serves.
     pub purpose: String,
-    /// Why.
+    /// Cause.
     pub source: std::io::Error,
 }
 
-/// Listens on all HTTP ports and starts all tasks; the returned tracker's
-/// tasks have ended when the node has stopped.
+/// Listens on all HTTP ports and starts all tasks. The returned tracker's tasks have
+/// ended when the node has stopped.
 pub fn start<P: Policies>(node: &Arc<Node<P>>) -> Result<TaskTracker, StartError> {
     let settings = &node.settings;
     let callers = listen(node, settings.caller_port, "callers")?;
     let peers = listen(node, settings.peer_port, "other nodes")?;
-    let egress = listen(node, settings.egress_port, "the own target")?;
+    let egress = listen(node, settings.egress_port, "the local target")?;
     let admin = listen(node, settings.admin_port, "monitoring")?;
     let tasks = TaskTracker::new();
     tasks.spawn(run_ticks(Arc::clone(node)));
     tasks.spawn(follow_members(Arc::clone(node)));
-    tasks.spawn(follow_answers(Arc::clone(node)));
+    tasks.spawn(follow_probe_responses(Arc::clone(node)));
     tasks.spawn(follow_evacuations(Arc::clone(node)));
     tasks.spawn(serve_callers(Arc::clone(node), callers));
     tasks.spawn(serve_peers(Arc::clone(node), peers));
--- a/src/node/systems.rs
+++ b/src/node/tasks.rs
@@ -1,4 +1,4 @@
-//! Systems that run over the tables of a node.
+//! Background tasks that update the state of a node.
 
 use {
     super::{NOT_CUT_OFF, Node, Policies, route_table::FleetState},
@@ -13,41 +13,41 @@
     tokio::sync::broadcast::error::RecvError,
 };
 
-/// Silence after which a target counts as lost, in milliseconds.
+/// Time without a heartbeat after which the target is removed, in milliseconds.
 const TARGET_SILENCE_MS: u64 = 5000;
 
-/// Runs the systems that look at time, until the node stops.
+/// Performs the periodic checks until the node stops.
 ///
-/// With requests in flight they run each [`TICK_MS`]. Without any nothing can
-/// expire soon, so they run each [`IDLE_TICK_MS`]; the first request wakes
-/// them at once, so that none waits longer for its turn.
+/// They run every [`TICK_MS`] while requests are in flight. On an idle node nothing
+/// can expire soon, so they run every [`IDLE_TICK_MS`]; the first request switches
+/// to the short period at once, so that no request is checked late.
 pub async fn run_ticks<P: Policies>(node: Arc<Node<P>>) {
     let mut ticks = node.timer.subscribe(TICK_MS);
     let mut idle_ticks = node.timer.subscribe(IDLE_TICK_MS);
     loop {
         let tick = tokio::select! {
             () = node.stopped.cancelled() => return,
-            tick = ticks.next(), if !node.has_nothing_to_do() => tick,
+            tick = ticks.next(), if !node.has_no_request_in_flight() => tick,
             tick = idle_ticks.next() => tick,
-            () = node.work_begins.notified() => continue,
+            () = node.first_request_arrived.notified() => continue,
         };
         let Some(tick) = tick else {
             return;
         };
-        if node.has_nothing_to_do() {
+        if node.has_no_request_in_flight() {
             node.loop_lag().pause();
         } else {
-            node.loop_lag().note(tick.now_us);
+            node.loop_lag().record_tick(tick.now_us);
         }
         node.admission().tick(tick.now_us);
         node.routes().tick(tick.now_us);
-        ask_unheard(&node, tick.now_us);
-        lose_silent_target(&node, tick.now_ms());
-        watch_freshness(&node, tick.now_ms());
+        probe_silent_nodes(&node, tick.now_us);
+        remove_silent_target(&node, tick.now_ms());
+        update_cut_off_since(&node, tick.now_ms());
     }
 }
 
-/// Keeps the targets of the routing policy as membership knows them.
+/// Updates the routing policy's targets from membership and evacuations.
 pub async fn follow_members<P: Policies>(node: Arc<Node<P>>) {
     let mut view = node.view.clone();
     let mut own = node.own_state.subscribe();
@@ -55,12 +55,12 @@
     loop {
         let members = Arc::clone(&view.borrow_and_update());
         let own_state = own.borrow_and_update().clone();
-        let evacuated = Arc::clone(&evacuations.borrow_and_update());
+        let evacuated_zones = Arc::clone(&evacuations.borrow_and_update());
         node.routes().sync(
             FleetState {
                 view: &members,
                 own: &own_state,
-                evacuations: &evacuated,
+                evacuations: &evacuated_zones,
             },
             &node.settings,
             &node.names,
@@ -79,39 +79,39 @@
     }
 }
 
-/// Asks the nodes whether they live at which requests wait without a word.
-fn ask_unheard<P: Policies>(node: &Node<P>, now_us: u64) {
-    let asked = node.routes().unheard(now_us);
-    for node_id in asked {
+/// Probes nodes that have outstanding requests and do not respond.
+fn probe_silent_nodes<P: Policies>(node: &Node<P>, now_us: u64) {
+    let to_probe = node.routes().check_silence(now_us);
+    for node_id in to_probe {
         node.probes.ask(&node_id);
     }
 }
 
-/// Tells the routing policy which nodes answered.
-pub async fn follow_answers<P: Policies>(node: Arc<Node<P>>) {
-    let mut answers = node.probes.answers();
+/// Records responses to probes in the routing policy.
+pub async fn follow_probe_responses<P: Policies>(node: Arc<Node<P>>) {
+    let mut responses = node.probes.answers();
     loop {
-        let answer = tokio::select! {
+        let response = tokio::select! {
             () = node.stopped.cancelled() => return,
-            answer = answers.recv() => answer,
+            response = responses.recv() => response,
         };
-        match answer {
-            Ok(node_id) => node.routes().heard(&node_id, node.timer.now_us()),
-            // The members that were missed answer the next question as well.
+        match response {
+            Ok(node_id) => node.routes().record_response(&node_id, node.timer.now_us()),
+            // Members whose responses were missed also respond to the next probe.
             Err(RecvError::Lagged(_)) => {}
             Err(RecvError::Closed) => return,
         }
     }
 }
 
-fn lose_silent_target<P: Policies>(node: &Node<P>, now_ms: u64) {
-    if node.target.lose_if_silent(now_ms, TARGET_SILENCE_MS) {
+fn remove_silent_target<P: Policies>(node: &Node<P>, now_ms: u64) {
+    if node.target.remove_if_silent(now_ms, TARGET_SILENCE_MS) {
         event!(Event::TargetLost, "silent_ms={TARGET_SILENCE_MS}");
         node.own_state.send_modify(|own| own.target = None);
     }
 }
 
-fn watch_freshness<P: Policies>(node: &Node<P>, now_ms: u64) {
+fn update_cut_off_since<P: Policies>(node: &Node<P>, now_ms: u64) {
     let is_cut_off = node.freshness.borrow().at(now_ms) == Freshness::CutOff;
     let was_cut_off = node.cut_off_since_ms() != NOT_CUT_OFF;
     if is_cut_off != was_cut_off {
--- a/src/target/exchange.rs
+++ b/src/target/exchange.rs
@@ -1,7 +1,7 @@
-//! One exchange with the own target.
+//! Sends one request to the local target.
 
 use {
-    super::{Lease, PoolError, TargetPool},
+    super::{PoolError, PooledConnection, TargetPool},
     crate::{
         dialect::{Dialect, TargetCall, TargetSignal},
         exchange::Outbound,
@@ -13,36 +13,37 @@
     std::sync::Arc,
 };
 
-/// Connections tried when idle ones turn out to be closed.
-const CONNECTION_TRIES: usize = 3;
+/// Connections tried for one request when idle ones turn out to be closed.
+const MAX_CONNECTION_ATTEMPTS: usize = 3;
 
-/// Head of a target's answer.
+/// Head of a target's response.
 #[derive(Debug)]
-pub struct TargetAnswer {
-    /// The answer, its body still to be read.
+pub struct TargetResponse {
+    /// Response whose body is not read yet.
     pub response: Response<Incoming>,
-    /// The connection that it comes over.
-    pub lease: Lease,
-    /// What the head means.
-    pub word: TargetSignal,
+    /// Connection on which the response arrives.
+    pub connection: PooledConnection,
+    /// What the dialect reads from the head.
+    pub signal: TargetSignal,
 }
 
-/// Sends the request under this handle and returns the head of the answer.
+/// Sends the request with this call handle and returns the head of the response.
 ///
-/// `pass` is asked at the moment of sending: a connection that was slow to open
-/// would otherwise bunch requests that were let through one by one.
+/// `try_pass` is called immediately before sending. If it were called earlier,
+/// requests that passed one by one could be sent in a burst after a connection
+/// that was slow to open.
 pub async fn exchange<D: Dialect>(
     dialect: &D,
     pool: &Arc<TargetPool>,
     handle: u128,
     outbound: &Outbound,
     remaining_ms: u64,
-    pass: impl Fn() -> Result<(), Refusal>,
-) -> Result<TargetAnswer, Refusal> {
-    for _ in 0..CONNECTION_TRIES {
-        let mut lease = pool.lease().await.map_err(|error| refusal_of(&error))?;
-        let instance_id = lease.instance_id().to_owned();
-        let Some(sender) = lease.sender() else {
+    try_pass: impl Fn() -> Result<(), Refusal>,
+) -> Result<TargetResponse, Refusal> {
+    for _ in 0..MAX_CONNECTION_ATTEMPTS {
+        let mut connection = pool.acquire().await.map_err(|error| to_refusal(&error))?;
+        let instance_id = connection.instance_id().to_owned();
+        let Some(sender) = connection.sender() else {
             continue;
         };
         if sender.ready().await.is_err() {
@@ -55,20 +56,20 @@
             host: outbound.host.as_deref(),
             sent: &outbound.headers,
         };
-        let mut request = request_of(outbound);
+        let mut request = build_request(outbound);
         dialect.address(&mut request, &call);
-        pass()?;
+        try_pass()?;
         match sender.try_send_request(request).await {
             Ok(response) => {
-                let word = dialect.judge(&outbound.method, &call, &response);
-                return Ok(TargetAnswer {
+                let signal = dialect.judge(&outbound.method, &call, &response);
+                return Ok(TargetResponse {
                     response,
-                    lease,
-                    word,
+                    connection,
+                    signal,
                 });
             }
-            // Only a request that comes back has provably not left; any other
-            // error leaves open whether the target has begun.
+            // Only a request that the client returns was certainly not sent. After
+            // any other error the target may have started to execute it.
             Err(mut error) => {
                 if error.take_message().is_none() {
                     return Err(Refusal::unknown(Reason::ConnectionLost));
@@ -79,7 +80,7 @@
     Err(Refusal::not_run(Reason::ConnectionLost))
 }
 
-fn request_of(outbound: &Outbound) -> Request<Full<Bytes>> {
+fn build_request(outbound: &Outbound) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outbound.body.clone()));
     *request.method_mut() = outbound.method.clone();
     *request.uri_mut() = Uri::from(outbound.path.clone());
@@ -87,7 +88,7 @@
     request
 }
 
-const fn refusal_of(error: &PoolError) -> Refusal {
+const fn to_refusal(error: &PoolError) -> Refusal {
     match error {
         PoolError::NoTarget => Refusal::not_run(Reason::NoTarget),
         PoolError::AllInUse => Refusal::not_run(Reason::TooManyConnections),
--- a/src/target/gate.rs
+++ b/src/target/gate.rs
@@ -1,65 +1,66 @@
-//! What may be sent to the own target now.
+//! Limits what is sent to the local target while it is cold or its zone is evacuated.
 //!
-//! Pattern: all targets of a service come back from an outage at the same time.
-//! A target that is cold bears a few requests a second and fails at many more;
-//! under the usual load it fails, comes back cold and fails again, and the
-//! service never recovers. All requests for a target pass its own node, so the
-//! bound is kept exactly here, whatever other nodes believe.
+//! A cold target handles only a few requests per second. When all targets of a
+//! service restart together under the usual load, each fails, restarts cold and
+//! fails again, and the service never recovers. All requests to a target pass
+//! through its node, so the limit holds here whatever state other nodes assume.
 
 use {
     crate::model::{CLASS_COUNT, Class},
     std::collections::VecDeque,
 };
 
-/// Span over which sent requests are counted.
+/// Sliding window over which sent requests are counted.
 const WINDOW_US: u64 = 1_000_000;
-/// Longest time that a target is taken for cold on one word of it.
-const COLD_LIMIT_US: u64 = 60_000_000;
-/// Heartbeats in a row that call a target warm before a doubt about it ends. The
-/// first one may have been sent before what raised the doubt.
+/// Longest cold time that is accepted from one heartbeat.
+const MAX_COLD_US: u64 = 60_000_000;
+/// Consecutive heartbeats that must report a suspected target as warm. The first
+/// may have been sent before the event that raised the suspicion.
 const WARM_HEARTBEAT_COUNT: u32 = 2;
-/// Load, in percent, that is told of a cold target that has got all that it bears:
-/// callers then go elsewhere, and new chains are held back.
-const FULL_LOAD_PERCENT: u64 = 200;
-/// Share of the bound, in percent, that new requests of each class may use up,
-/// from the least important. The rest is kept for calls of chains that have
-/// begun: their work would be lost with them.
-const NEW_SHARES_PERCENT: [u32; CLASS_COUNT] = [50, 70, 85];
+/// Load in percent reported for a cold target that has reached its limit. It makes
+/// callers choose other targets and throttle new call chains.
+const COLD_FULL_LOAD_PERCENT: u64 = 200;
+/// Share of the limit, in percent, up to which new call chains of each class are
+/// sent, lowest class first. The rest is reserved for calls of chains in
+/// progress: refusing those would waste the work already done.
+const NEW_CHAIN_SHARES_PERCENT: [u32; CLASS_COUNT] = [50, 70, 85];
 
-/// How important it is that a request is sent.
+/// Priority of a request at the gate.
 #[derives::key]
-pub enum Urgency {
-    /// It begins a chain of calls.
-    New(Class),
-    /// It belongs to a chain that has begun.
-    Begun,
+pub enum Priority {
+    /// Starts a call chain.
+    NewChain(Class),
+    /// Belongs to a call chain in progress.
+    ChainInProgress,
 }
 
-/// Why nothing more is sent for now.
+/// Why a request must not be sent now.
 #[derives::key]
 pub enum GateClosed {
     /// The target's availability zone is evacuated.
     Evacuated,
-    /// The cold target has got what it bears.
+    /// The target is cold and its limit is reached.
     Cold {
-        /// Time until it is warm by its own word, in microseconds.
+        /// Time until the target is warm as it reported, in microseconds; `None`
+        /// while it is only suspected to be cold.
         left_us: Option<u64>,
     },
 }
 
-/// Bounds what is sent to one target; no I/O, no clock.
+/// Limits what is sent to one target. Pure state: performs no I/O and reads no
+/// clock.
 #[derive(Debug)]
 pub struct SendGate {
     is_evacuated: bool,
-    /// When the target is warm by its own word.
+    /// Time at which the target is warm, as it reported.
     cold_until_us: u64,
-    /// Heartbeats that must call it warm before it is taken for warm: it may have
-    /// become cold since it last told.
-    wanted_heartbeat_count: u32,
-    /// Times of the last requests, the oldest first; no more than the bound.
-    sent_us: VecDeque<u64>,
-    /// Requests that a cold target may get in any second; 0 without a bound.
-    bound_count: u32,
+    /// Heartbeats that must still report the target as warm: it may have become
+    /// cold since its last report.
+    missing_warm_heartbeat_count: u32,
+    /// Times of the last sent requests, oldest first; at most `cold_limit_per_s`.
+    sent_at_us: VecDeque<u64>,
+    /// Requests that a cold target may receive in any second; 0: unlimited.
+    cold_limit_per_s: u32,
 }
 
 impl Default for SendGate {
@@ -69,122 +70,123 @@
 }
 
 impl SendGate {
-    /// A gate before a target of which nothing is known.
+    /// A gate for a target whose state is unknown.
     #[must_use]
     pub const fn new() -> Self {
         Self {
             is_evacuated: false,
             cold_until_us: 0,
-            wanted_heartbeat_count: WARM_HEARTBEAT_COUNT,
-            sent_us: VecDeque::new(),
-            bound_count: 0,
+            missing_warm_heartbeat_count: WARM_HEARTBEAT_COUNT,
+            sent_at_us: VecDeque::new(),
+            cold_limit_per_s: 0,
         }
     }
 
-    /// A heartbeat tells how much longer the target stays cold.
+    /// Records how much longer the target stays cold, as its heartbeat reports.
     ///
-    /// A word that would end an earlier one too soon is not believed: it may be
-    /// late, and a target that is flooded while it is cold fails.
-    pub fn tell(&mut self, cold_left_us: u64, is_new_process: bool, now_us: u64) {
-        let until_us = match cold_left_us {
+    /// Unless the process is new, a heartbeat cannot shorten a cold time reported
+    /// earlier: it may be delayed, and a target overloaded while cold fails.
+    pub fn record_cold_time(&mut self, cold_left_us: u64, is_new_process: bool, now_us: u64) {
+        let new_cold_until_us = match cold_left_us {
             0 => 0,
-            left_us => now_us + left_us.min(COLD_LIMIT_US),
+            left_us => now_us + left_us.min(MAX_COLD_US),
         };
         if is_new_process {
-            self.cold_until_us = until_us;
-            self.wanted_heartbeat_count = 0;
+            self.cold_until_us = new_cold_until_us;
+            self.missing_warm_heartbeat_count = 0;
             return;
         }
-        self.cold_until_us = self.cold_until_us.max(until_us);
-        self.wanted_heartbeat_count = match cold_left_us {
-            0 => self.wanted_heartbeat_count.saturating_sub(1),
+        self.cold_until_us = self.cold_until_us.max(new_cold_until_us);
+        self.missing_warm_heartbeat_count = match cold_left_us {
+            0 => self.missing_warm_heartbeat_count.saturating_sub(1),
             _ => 0,
         };
     }
 
-    /// The target may have become cold without a word: it was away, or got
-    /// nothing for a while by the operators' will.
-    pub const fn doubt(&mut self) {
-        self.wanted_heartbeat_count = WARM_HEARTBEAT_COUNT;
+    /// Treats the target as possibly cold although it has not reported so: it was
+    /// unreachable, or received nothing during an evacuation.
+    pub const fn suspect_cold(&mut self) {
+        self.missing_warm_heartbeat_count = WARM_HEARTBEAT_COUNT;
     }
 
-    /// Opens or shuts the gate for an evacuation; returns whether that is new.
+    /// Closes or opens the gate for an evacuation; returns whether that changed.
     pub const fn set_evacuated(&mut self, is_evacuated: bool) -> bool {
         let is_changed = self.is_evacuated != is_evacuated;
         self.is_evacuated = is_evacuated;
         if is_changed && !is_evacuated {
-            self.doubt();
+            self.suspect_cold();
         }
         is_changed
     }
 
-    /// Whether the target is cold or may be.
+    /// Whether the target is cold or suspected to be.
     #[must_use]
     pub const fn is_cold(&self, now_us: u64) -> bool {
-        self.bound_count > 0 && (now_us < self.cold_until_us || self.wanted_heartbeat_count > 0)
+        self.cold_limit_per_s > 0
+            && (now_us < self.cold_until_us || self.missing_warm_heartbeat_count > 0)
     }
 
-    /// Whether a request could be sent now; `bound_count` is how many a cold
-    /// target may get in any second, 0 for no bound.
+    /// Checks whether a request could be sent now. `cold_limit_per_s` is the number
+    /// of requests that a cold target may receive in any second; 0: unlimited.
     pub fn check(
         &mut self,
-        urgency: Urgency,
-        bound_count: u32,
+        priority: Priority,
+        cold_limit_per_s: u32,
         now_us: u64,
     ) -> Result<(), GateClosed> {
-        self.bound_count = bound_count;
+        self.cold_limit_per_s = cold_limit_per_s;
         if self.is_evacuated {
             return Err(GateClosed::Evacuated);
         }
         if !self.is_cold(now_us) {
             return Ok(());
         }
-        let left_us = match self.wanted_heartbeat_count {
+        let left_us = match self.missing_warm_heartbeat_count {
             0 => Some(self.cold_until_us.saturating_sub(now_us)),
             _ => None,
         };
-        let share_percent = match urgency {
-            Urgency::New(class) => NEW_SHARES_PERCENT[class.index()],
-            Urgency::Begun => 100,
+        let share_percent = match priority {
+            Priority::NewChain(class) => NEW_CHAIN_SHARES_PERCENT[class.index()],
+            Priority::ChainInProgress => 100,
         };
-        let allowed_count = (bound_count * share_percent / 100).max(1);
-        match self.sent_count(now_us) < allowed_count {
+        let allowed_count = (cold_limit_per_s * share_percent / 100).max(1);
+        match self.recent_count(now_us) < allowed_count {
             true => Ok(()),
             false => Err(GateClosed::Cold { left_us }),
         }
     }
 
-    /// Lets a request pass, which is sent at this moment.
-    pub fn pass(
+    /// Checks and counts a request that is sent immediately afterwards.
+    pub fn try_pass(
         &mut self,
-        urgency: Urgency,
-        bound_count: u32,
+        priority: Priority,
+        cold_limit_per_s: u32,
         now_us: u64,
     ) -> Result<(), GateClosed> {
-        self.check(urgency, bound_count, now_us)?;
-        // Kept also while the target is warm: what it got just before it became
-        // cold counts as well.
-        self.sent_us.push_back(now_us);
-        while self.sent_us.len() > bound_count as usize {
-            self.sent_us.pop_front();
+        self.check(priority, cold_limit_per_s, now_us)?;
+        // Recorded while the target is warm, too: requests sent just before it
+        // became cold count against the limit.
+        self.sent_at_us.push_back(now_us);
+        while self.sent_at_us.len() > cold_limit_per_s as usize {
+            self.sent_at_us.pop_front();
         }
         Ok(())
     }
 
-    /// Load of a cold target, in percent; 0 for a warm one.
+    /// Load of a cold target in percent; 0 if it is warm.
     #[must_use]
     pub fn load_percent(&self, now_us: u64) -> u16 {
         if !self.is_cold(now_us) {
             return 0;
         }
-        let sent_count = u64::from(self.sent_count(now_us));
-        let percent = sent_count * FULL_LOAD_PERCENT / u64::from(self.bound_count);
+        let recent_count = u64::from(self.recent_count(now_us));
+        let percent = recent_count * COLD_FULL_LOAD_PERCENT / u64::from(self.cold_limit_per_s);
         u16::try_from(percent).unwrap_or(u16::MAX)
     }
 
-    fn sent_count(&self, now_us: u64) -> u32 {
-        let recent = self.sent_us.iter().rev();
-        let recent = recent.take_while(|sent_us| now_us < **sent_us + WINDOW_US);
-        u32::try_from(recent.count()).unwrap_or(u32::MAX)
+    fn recent_count(&self, now_us: u64) -> u32 {
+        let recent_times = self.sent_at_us.iter().rev();
+        let recent_times = recent_times.take_while(|sent_at_us| now_us < **sent_at_us + WINDOW_US);
+        u32::try_from(recent_times.count()).unwrap_or(u32::MAX)
     }
 }
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -1,16 +1,16 @@
-//! The node's own target: admission, connections, exchanges.
+//! The local target: send limits, connections and requests.
 
 mod exchange;
 mod gate;
-mod passage;
+mod gate_check;
 mod pool;
 mod registration;
 mod serve;
 
 pub use {
-    exchange::{TargetAnswer, exchange},
-    gate::{GateClosed, SendGate, Urgency},
-    pool::{Lease, PoolError, PoolTarget, TargetPool},
+    exchange::{TargetResponse, exchange},
+    gate::{GateClosed, Priority, SendGate},
+    pool::{PoolError, PoolTarget, PooledConnection, TargetPool},
     registration::{Registration, Standing},
     serve::serve_local,
 };
--- a/src/target/pool.rs
+++ b/src/target/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the own target.
+//! HTTP/1.1 connections to the local target.
 
 use {
     super::SendGate,
@@ -17,44 +17,44 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why there is no connection to the target.
+/// Why no connection to the target is available.
 #[derive(Debug, thiserror::Error)]
 pub enum PoolError {
-    /// The target has not announced itself or is lost.
-    #[error("there is no target")]
+    /// The target has not registered or was removed after silence.
+    #[error("no target is registered at this node")]
     NoTarget,
-    /// All connections that it accepts are in use.
-    #[error("all connections to the target are in use")]
+    /// All connections that the target accepts are in use.
+    #[error("all connections that the target accepts are in use")]
     AllInUse,
-    /// It does not accept one.
-    #[error("the target does not accept a connection: {0}")]
+    /// The connection failed.
+    #[error("cannot connect to the target: {0}")]
     Connect(#[from] std::io::Error),
-    /// It does not accept one in time.
-    #[error("the target does not accept a connection in time")]
+    /// The target did not accept the connection in time.
+    #[error("connecting to the target timed out")]
     Timeout,
-    /// HTTP could not begin.
-    #[error("HTTP/1.1 handshake: {0}")]
+    /// The HTTP/1.1 handshake failed.
+    #[error("HTTP/1.1 handshake with the target failed: {0}")]
     Handshake(#[from] hyper::Error),
 }
 
-/// Age at which an idle connection is not used again where the target does not
-/// tell how long it keeps it.
+/// Idle time after which a connection is not reused if the target does not send its
+/// own idle limit.
 const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(60);
-/// Taken off the time that the target tells. A request that is sent while the
-/// target closes the connection is lost, and nobody knows whether it ran.
+/// Subtracted from the idle limit. A request sent while the target closes the
+/// connection is lost, and whether it ran is unknown.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// A target as it announced itself to the pool.
+/// A target as registered with the pool.
 #[derives::value]
 #[derive(Eq)]
 pub struct PoolTarget {
-    /// Names the process; empty where targets have no identity.
+    /// Instance id of the target process; empty where targets have none.
     pub instance_id: String,
-    /// Port on the own address.
+    /// Port on this node's address.
     pub port: u16,
-    /// Start of its process, where it tells; 0 otherwise.
+    /// Start time of its process; 0 if it does not report one.
     pub started_unix_ms: u64,
-    /// Connections that it accepts.
+    /// Connections that it accepts at a time.
     pub connection_count: u32,
 }
 
@@ -74,15 +74,15 @@
 #[derive(Debug, Default)]
 struct State {
     target: Option<PoolTarget>,
-    heard_ms: u64,
-    // Raised when the target changes, so that no connection to its
-    // predecessor comes back into the pool.
+    last_heartbeat_ms: u64,
+    // Incremented when the target changes, so that no connection to the previous
+    // process is returned to the pool.
     generation: u64,
     idle: Vec<Connection>,
-    open_count: u32,
+    open_connection_count: u32,
 }
 
-/// Keeps connections to the target and bounds their number.
+/// Connection pool of the target; limits the number of open connections.
 #[derive(Debug)]
 pub struct TargetPool {
     ip: IpAddr,
@@ -91,7 +91,7 @@
 }
 
 impl TargetPool {
-    /// A pool without a target; it will be reached on this address.
+    /// A pool without a target; the target will be reached at `ip`.
     #[must_use]
     pub fn new(ip: IpAddr) -> Arc<Self> {
         Arc::new(Self {
@@ -101,29 +101,31 @@
         })
     }
 
-    /// Takes over an announcement, with how much longer the target stays cold;
-    /// returns whether it (re)started.
+    /// Records a heartbeat and how much longer the target stays cold; returns
+    /// whether the process is new.
     pub fn announce(&self, target: PoolTarget, cold_left_ms: u64, now_us: u64) -> bool {
-        let mut state = self.locked();
-        let is_same = state.target.as_ref().is_some_and(|known| {
-            known.port == target.port
-                && known.started_unix_ms == target.started_unix_ms
-                && known.instance_id == target.instance_id
+        let mut state = self.lock_state();
+        let is_same_process = state.target.as_ref().is_some_and(|current| {
+            current.port == target.port
+                && current.started_unix_ms == target.started_unix_ms
+                && current.instance_id == target.instance_id
         });
-        state.heard_ms = now_us / 1000;
+        state.last_heartbeat_ms = now_us / 1000;
         state.target = Some(target);
-        if !is_same {
+        if !is_same_process {
             state.reset();
         }
         let cold_left_us = cold_left_ms.saturating_mul(1000);
-        self.gate().tell(cold_left_us, !is_same, now_us);
-        !is_same
+        self.gate()
+            .record_cold_time(cold_left_us, !is_same_process, now_us);
+        !is_same_process
     }
 
-    /// Forgets the target after silence; returns whether it was just lost.
-    pub fn lose_if_silent(&self, now_ms: u64, silence_ms: u64) -> bool {
-        let mut state = self.locked();
-        let is_silent = now_ms.saturating_sub(state.heard_ms) > silence_ms;
+    /// Removes the target if its last heartbeat is older than `silence_ms`; returns
+    /// whether it was removed now.
+    pub fn remove_if_silent(&self, now_ms: u64, silence_ms: u64) -> bool {
+        let mut state = self.lock_state();
+        let is_silent = now_ms.saturating_sub(state.last_heartbeat_ms) > silence_ms;
         if state.target.is_none() || !is_silent {
             return false;
         }
@@ -132,41 +134,41 @@
         true
     }
 
-    /// An idle connection or a new one.
-    pub async fn lease(self: &Arc<Self>) -> Result<Lease, PoolError> {
-        let (address, mut lease) = {
-            let mut state = self.locked();
+    /// Returns an idle connection or opens a new one.
+    pub async fn acquire(self: &Arc<Self>) -> Result<PooledConnection, PoolError> {
+        let (address, mut pooled) = {
+            let mut state = self.lock_state();
             let target = state.target.clone().ok_or(PoolError::NoTarget)?;
             let idle = state.pop_idle();
             if idle.is_none() {
-                if state.open_count >= target.connection_count {
+                if state.open_connection_count >= target.connection_count {
                     return Err(PoolError::AllInUse);
                 }
-                state.open_count += 1;
+                state.open_connection_count += 1;
             }
-            let lease = Lease {
+            let pooled = PooledConnection {
                 pool: Arc::clone(self),
                 generation: state.generation,
                 instance_id: target.instance_id,
                 connection: idle,
             };
-            (SocketAddr::new(self.ip, target.port), lease)
+            (SocketAddr::new(self.ip, target.port), pooled)
         };
-        if lease.connection.is_none() {
+        if pooled.connection.is_none() {
             let connecting = tokio::time::timeout(CONNECT_TIMEOUT, connect(self.ip, address));
             let connected = connecting.await.unwrap_or(Err(PoolError::Timeout));
-            // Nothing listens there: the target is down and may come back cold
-            // before it tells. A connection that takes long tells nothing: this
-            // node may have had no turn.
+            // Nothing listens: the target is down and may restart cold before its
+            // next heartbeat. A timeout proves nothing: this node itself may not
+            // have been scheduled.
             if matches!(connected, Err(PoolError::Connect(_))) {
-                self.gate().doubt();
+                self.gate().suspect_cold();
             }
-            lease.connection = Some(connected?);
+            pooled.connection = Some(connected?);
         }
-        Ok(lease)
+        Ok(pooled)
     }
 
-    /// What may be sent to the target now.
+    /// The send gate of the target.
     ///
     /// # Panics
     /// If a thread panicked while it held the lock.
@@ -174,7 +176,7 @@
         self.gate.lock().expect("lock is not poisoned")
     }
 
-    fn locked(&self) -> MutexGuard<'_, State> {
+    fn lock_state(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("lock is not poisoned")
     }
 }
@@ -183,18 +185,18 @@
     fn reset(&mut self) {
         self.generation += 1;
         self.idle.clear();
-        self.open_count = 0;
+        self.open_connection_count = 0;
     }
 
     fn pop_idle(&mut self) -> Option<Connection> {
         while let Some(connection) = self.idle.pop() {
-            let is_young = connection
+            let is_within_idle_limit = connection
                 .usable_until
                 .is_none_or(|until| Instant::now() < until);
-            if is_young && !connection.sender.is_closed() {
+            if is_within_idle_limit && !connection.sender.is_closed() {
                 return Some(connection);
             }
-            self.open_count -= 1;
+            self.open_connection_count -= 1;
         }
         None
     }
@@ -215,60 +217,60 @@
     })
 }
 
-/// A connection in use for one exchange.
+/// A connection in use for one request.
 ///
-/// Dropping it closes the connection: what is left of an exchange that was
-/// cancelled, timed out or broke would be read as the next one's answer. The
-/// target sees the close and stops working.
+/// Dropping it closes the connection: the rest of a request that was cancelled,
+/// timed out or failed would be read as the response to the next one. The close
+/// also lets the target stop working on the request.
 #[derive(Debug)]
-pub struct Lease {
+pub struct PooledConnection {
     pool: Arc<TargetPool>,
     generation: u64,
     instance_id: String,
     connection: Option<Connection>,
 }
 
-impl Lease {
-    /// Names the process of the target that the connection leads to.
+impl PooledConnection {
+    /// Instance id of the target process at the other end.
     #[must_use]
     pub fn instance_id(&self) -> &str {
         &self.instance_id
     }
 
-    /// Sends the request of this exchange.
+    /// Sender for the request.
     pub fn sender(&mut self) -> Option<&mut http1::SendRequest<Full<Bytes>>> {
         self.connection
             .as_mut()
             .map(|connection| &mut connection.sender)
     }
 
-    /// Gives the connection back after a whole answer; the target closes it
-    /// after `idle_limit`, if it told.
-    pub fn keep(mut self, idle_limit: Option<Duration>) {
-        let usable = idle_limit.unwrap_or(DEFAULT_IDLE_LIMIT);
+    /// Returns the connection to the pool after a complete response. `idle_limit` is
+    /// the time after which the target closes it, if it sent one.
+    pub fn return_to_pool(mut self, idle_limit: Option<Duration>) {
+        let idle_limit = idle_limit.unwrap_or(DEFAULT_IDLE_LIMIT);
         if let Some(connection) = &mut self.connection {
-            let until = Instant::now() + usable.saturating_sub(IDLE_MARGIN);
+            let until = Instant::now() + idle_limit.saturating_sub(IDLE_MARGIN);
             connection.usable_until = Some(until);
         }
         let pool = Arc::clone(&self.pool);
-        let mut state = pool.locked();
+        let mut state = pool.lock_state();
         if state.generation == self.generation {
             state.idle.extend(self.connection.take());
-            // Taken from the count again by the drop below, unless it is
-            // marked as of no generation.
+            // Marks the connection as returned, so that `drop` does not subtract it
+            // from the open connections.
             self.generation = u64::MAX;
         }
     }
 }
 
-impl Drop for Lease {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         if self.generation == u64::MAX {
             return;
         }
-        let mut state = self.pool.locked();
+        let mut state = self.pool.lock_state();
         if state.generation == self.generation {
-            state.open_count -= 1;
+            state.open_connection_count -= 1;
         }
     }
 }
--- a/src/target/registration.rs
+++ b/src/target/registration.rs
@@ -1,14 +1,14 @@
-//! Which process of the target is the present one, from what it tells.
+//! Tracks which target process is the current one from its heartbeats and leave notices.
 
-/// How a notice of the target stands to what was heard before.
+/// How a notice of the target relates to earlier ones.
 #[derives::key]
 pub enum Standing {
-    /// The first notice of a process.
-    New,
-    /// The next notice of the present process.
-    Next,
-    /// From an earlier process, or overtaken by a later notice: it tells
-    /// nothing any more.
+    /// First notice of a process.
+    NewProcess,
+    /// Newer notice of the current process.
+    Current,
+    /// From an earlier process or one that left, or older than a notice already
+    /// received; to be ignored.
     Outdated,
 }
 
@@ -20,82 +20,83 @@
     has_left: bool,
 }
 
-/// The target's processes as they told of themselves; no I/O, no clock.
+/// The current target process. Pure state: performs no I/O and reads no clock.
 ///
-/// A notice that a partition delayed may arrive after its process is gone and
-/// another one stands in its place. Taken at its word, it would point requests
-/// to a process that does not exist, and take the present one's connections
-/// away.
+/// A notice delayed by a partition may arrive after its process has been replaced.
+/// Accepting it would direct requests to a process that no longer exists and drop
+/// the connections to the current one.
 #[derive(Debug, Default)]
 pub struct Registration {
-    present: Option<Process>,
+    current: Option<Process>,
 }
 
 impl Registration {
-    /// No process is known.
+    /// Creates a registration without a process.
     #[must_use]
     pub const fn new() -> Self {
-        Self { present: None }
+        Self { current: None }
     }
 
-    /// A process tells that it lives.
+    /// Records a heartbeat of a process.
     pub fn alive(
         &mut self,
         instance_id: &str,
         started_unix_ms: u64,
         sequence: Option<u64>,
     ) -> Standing {
-        let standing = self.standing(instance_id, started_unix_ms, sequence);
-        match (standing, &mut self.present) {
-            (Standing::New, present) => {
-                *present = Some(Process {
+        let status = self.classify(instance_id, started_unix_ms, sequence);
+        match (status, &mut self.current) {
+            (Standing::NewProcess, current) => {
+                *current = Some(Process {
                     instance_id: instance_id.to_owned(),
                     started_unix_ms,
                     sequence,
                     has_left: false,
                 });
             }
-            (Standing::Next, Some(process)) => process.sequence = sequence,
-            (Standing::Next, None) | (Standing::Outdated, _) => {}
+            (Standing::Current, Some(process)) => process.sequence = sequence,
+            (Standing::Current, None) | (Standing::Outdated, _) => {}
         }
-        standing
+        status
     }
 
-    /// A process tells that it leaves for good; returns whether it is the
-    /// present one.
+    /// Records that a process shuts down for good; returns whether it is the current
+    /// one.
     pub fn leave(&mut self, instance_id: &str, started_unix_ms: Option<u64>) -> bool {
-        let Some(process) = &mut self.present else {
+        let Some(process) = &mut self.current else {
             return false;
         };
-        let is_same_start = started_unix_ms.is_none_or(|started| {
-            started == process.started_unix_ms || started == 0 || process.started_unix_ms == 0
+        let has_same_start = started_unix_ms.is_none_or(|started_unix_ms| {
+            started_unix_ms == process.started_unix_ms
+                || started_unix_ms == 0
+                || process.started_unix_ms == 0
         });
-        if process.instance_id != instance_id || !is_same_start {
+        if process.instance_id != instance_id || !has_same_start {
             return false;
         }
         process.has_left = true;
         true
     }
 
-    fn standing(&self, instance_id: &str, started_unix_ms: u64, sequence: Option<u64>) -> Standing {
-        let Some(process) = &self.present else {
-            return Standing::New;
+    fn classify(&self, instance_id: &str, started_unix_ms: u64, sequence: Option<u64>) -> Standing {
+        let Some(process) = &self.current else {
+            return Standing::NewProcess;
         };
-        let is_same =
+        let is_same_process =
             process.instance_id == instance_id && process.started_unix_ms == started_unix_ms;
-        if !is_same {
+        if !is_same_process {
             return match started_unix_ms < process.started_unix_ms {
                 true => Standing::Outdated,
-                false => Standing::New,
+                false => Standing::NewProcess,
             };
         }
-        let is_overtaken = match (sequence, process.sequence) {
-            (Some(sequence), Some(known)) => sequence <= known,
+        let is_out_of_order = match (sequence, process.sequence) {
+            (Some(sequence), Some(last_sequence)) => sequence <= last_sequence,
             _ => false,
         };
-        match is_overtaken || process.has_left {
+        match is_out_of_order || process.has_left {
             true => Standing::Outdated,
-            false => Standing::Next,
+            false => Standing::Current,
         }
     }
 }
--- a/src/target/serve.rs
+++ b/src/target/serve.rs
@@ -1,9 +1,9 @@
-//! A request at the node of its target: admission, exchange, end.
+//! Serves a request at the target's node: admission, execution, completion.
 
 use {
     super::{
-        Lease, TargetAnswer, exchange,
-        passage::{check_gate, pass_gate},
+        PooledConnection, TargetResponse, exchange,
+        gate_check::{check_gate, try_pass_gate},
     },
     crate::{
         admission::{Arrival, LoadReport, TargetResult},
@@ -21,80 +21,80 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// When callers that were held back may come: shares move within a second; the
-/// width spreads them.
-const HELD_BACK_RETRY_MS: (u32, u32) = (400, 800);
+/// Retry delay of throttled requests, and the width of its random addition, which
+/// spreads the callers. Admitted shares change within a second.
+const THROTTLED_RETRY_AFTER_MS: (u32, u32) = (400, 800);
 
-/// A request that the target works on. Dropping it cancels everything below.
-struct Running<P: Policies> {
+/// A request that runs at the target. Dropping it cancels its downstream calls.
+struct RunningRequest<P: Policies> {
     ticket: Ticket<P>,
     call: CallHandle<P>,
-    /// Class of a request that begins a chain.
+    /// Class of a request that starts a call chain.
     new_class: Option<Class>,
-    _used: UsedTime<P>,
+    _run_time: RunTimeRecorder<P>,
 }
 
-/// The time in which a request runs, noted when it ends.
-struct UsedTime<P: Policies> {
+/// Records the run time of a request when dropped.
+struct RunTimeRecorder<P: Policies> {
     node: Arc<Node<P>>,
     new_class: Option<Class>,
-    begun_us: u64,
+    started_us: u64,
 }
 
-impl<P: Policies> UsedTime<P> {
+impl<P: Policies> RunTimeRecorder<P> {
     fn new(node: &Arc<Node<P>>, new_class: Option<Class>) -> Self {
         Self {
             node: Arc::clone(node),
             new_class,
-            begun_us: node.timer.now_us(),
+            started_us: node.timer.now_us(),
         }
     }
 }
 
-impl<P: Policies> Drop for UsedTime<P> {
+impl<P: Policies> Drop for RunTimeRecorder<P> {
     fn drop(&mut self) {
-        let run_us = self.node.timer.now_us().saturating_sub(self.begun_us);
+        let run_us = self.node.timer.now_us().saturating_sub(self.started_us);
         self.node.downstream().relief.end(self.new_class, run_us);
     }
 }
 
-impl<P: Policies> Running<P> {
-    /// Ends the request; returns the allotment that is left.
+impl<P: Policies> RunningRequest<P> {
+    /// Completes the request; returns the unspent retry allotment.
     fn end(self, result: TargetResult) -> u8 {
-        let rest = self.call.end();
+        let remainder = self.call.end();
         self.ticket.end(result);
-        rest.unspent
+        remainder.unspent
     }
 
-    /// Ends the request by a refusal, which is marked if a child failed for
-    /// good: repeating it higher up would multiply the child's retries.
+    /// Completes the request with a refusal, marked as exhausted if a child call
+    /// exhausted its retries: retrying further up would multiply those retries.
     fn fail(self, result: TargetResult, refusal: Refusal) -> (Result<Answer, Refusal>, u8) {
-        let rest = self.call.end();
+        let remainder = self.call.end();
         self.ticket.end(result);
-        let exhausted = refusal.exhausted || rest.is_exhausted;
+        let exhausted = refusal.exhausted || remainder.is_exhausted;
         let refusal = Refusal {
             exhausted,
             ..refusal
         };
-        (Err(refusal), rest.unspent)
+        (Err(refusal), remainder.unspent)
     }
 }
 
-/// Serves a request at the own target; returns the answer and the retry
-/// allotment that is left.
+/// Serves a request at the local target; returns the response and the unspent retry
+/// allotment.
 pub async fn serve_local<P: Policies>(
     node: &Arc<Node<P>>,
     context: &RequestContext,
     outbound: &Outbound,
 ) -> (Result<Answer, Refusal>, u8) {
-    let end = serve(node, context, outbound).await;
-    if let Err(refusal) = &end.0 {
-        log_refused(node, context, *refusal);
+    let served = serve(node, context, outbound).await;
+    if let Err(refusal) = &served.0 {
+        log_refusal(node, context, *refusal);
     }
-    end
+    served
 }
 
-fn log_refused<P: Policies>(node: &Node<P>, context: &RequestContext, refusal: Refusal) {
+fn log_refusal<P: Policies>(node: &Node<P>, context: &RequestContext, refusal: Refusal) {
     let (running, waiting) = node.admission().counts();
     let (share, below) = {
         let downstream = node.downstream();
@@ -118,16 +118,16 @@
     if context.depth > MAX_DEPTH {
         return refused(Refusal::not_run(Reason::TooDeep));
     }
-    if !serves(node, context.service) {
+    if !is_served_here(node, context.service) {
         return refused(Refusal::not_run(Reason::NoTarget));
     }
-    // The sender may hold an older configuration.
+    // The sender's configuration may be older.
     let regions = node.regions_of(context.workspace, outbound);
     if !regions.allows(node.region) {
         return refused(Refusal::not_run(Reason::OutsideRegions));
     }
-    // Calls of the target could not be routed, and the request would fail after
-    // it has run.
+    // Without a configuration the target's downstream calls cannot be routed, and
+    // the request would fail after it had run.
     if node.running().revision == 0 {
         return refused(Refusal::not_run(Reason::NotReady));
     }
@@ -135,7 +135,7 @@
         return refused(Refusal::not_run(Reason::RevokedKey));
     }
     let new_class = begins_chain(context.depth, context.key).then_some(context.class);
-    if let Some(refusal) = held_back(node, context.workspace, new_class) {
+    if let Some(refusal) = throttle_new_chain(node, context.workspace, new_class) {
         return refused(refusal);
     }
     if let Err(refusal) = check_gate(node, context) {
@@ -151,8 +151,8 @@
         Ok(ticket) => ticket,
         Err(refusal) => return refused(refusal),
     };
-    // Revoked while the request waited: a long queue would otherwise work for
-    // the key's holder long after the operator was told that it is dead.
+    // The key may have been revoked while the request waited: a long queue would
+    // otherwise serve its holder long after the operator saw the key revoked.
     if is_revoked(node, context) {
         return refused(Refusal::not_run(Reason::RevokedKey));
     }
@@ -161,24 +161,24 @@
         return refused(Refusal::not_run(Reason::TooLate));
     }
     let call = CallHandle::new(node, in_flight_call(node, context, deadline_us));
-    let running = Running {
+    let running = RunningRequest {
         ticket,
         call,
         new_class,
-        _used: UsedTime::new(node, new_class),
+        _run_time: RunTimeRecorder::new(node, new_class),
     };
-    let work = work(node, context, running, outbound, remaining_us);
+    let execution = run_at_target(node, context, running, outbound, remaining_us);
     let limit = Duration::from_micros(remaining_us);
-    match tokio::time::timeout(limit, work).await {
-        Ok(end) => end,
+    match tokio::time::timeout(limit, execution).await {
+        Ok(result) => result,
         Err(_) => (Err(Refusal::unknown(Reason::DeadlineExceeded)), 0),
     }
 }
 
-/// Refuses a new request while the calls of those before it fail: its own would
-/// be lost as well, after work at every service above. Calls of requests that
-/// have begun pass.
-fn held_back<P: Policies>(
+/// Throttles requests that start a call chain while downstream calls of earlier
+/// requests fail: their own calls would fail as well, after work at every service
+/// above. Calls of chains in progress pass.
+fn throttle_new_chain<P: Policies>(
     node: &Node<P>,
     workspace: WorkspaceKey,
     new_class: Option<Class>,
@@ -191,26 +191,27 @@
         .and_then(|rules| rules.class);
     let mut downstream = node.downstream();
     downstream.relief.arrive(new_class, now_us);
-    let ranked = new_class?.within(workspace_class);
-    if downstream.admits(new_class?, ranked, rand::random(), now_us) {
+    let limited_class = new_class?.within(workspace_class);
+    if downstream.admits(new_class?, limited_class, rand::random(), now_us) {
         return None;
     }
     drop(downstream);
-    let (least_ms, width_ms) = HELD_BACK_RETRY_MS;
-    let retry_after_ms = least_ms + rand::random::<u32>() % width_ms;
+    let (base_ms, jitter_width_ms) = THROTTLED_RETRY_AFTER_MS;
+    let retry_after_ms = base_ms + rand::random::<u32>() % jitter_width_ms;
     let refusal = Refusal::not_run(Reason::Overloaded).with_retry_after_ms(retry_after_ms);
-    // Another target of the service would meet the same services below.
+    // Other targets of the service depend on the same downstream services.
     Some(refusal.with_exhausted())
 }
 
-/// Whether the own target serves the service.
+/// Whether the local target serves the service.
 ///
-/// The sender may know this address from an instance that is gone and whose
-/// address was given to another one. Its target would run an order that was
-/// meant for another service.
-fn serves<P: Policies>(node: &Node<P>, service: ServiceKey) -> bool {
-    let own = node.own_state.borrow();
-    own.target
+/// The sender may know this address from an instance that no longer exists and
+/// whose address was reassigned. The target would then execute a request meant for
+/// another service.
+fn is_served_here<P: Policies>(node: &Node<P>, service: ServiceKey) -> bool {
+    let own_state = node.own_state.borrow();
+    own_state
+        .target
         .as_ref()
         .is_some_and(|target| node.names.service(&target.service) == service)
 }
@@ -237,70 +238,70 @@
     }
 }
 
-async fn work<P: Policies>(
+async fn run_at_target<P: Policies>(
     node: &Arc<Node<P>>,
     context: &RequestContext,
-    running: Running<P>,
+    running: RunningRequest<P>,
     outbound: &Outbound,
     remaining_us: u64,
 ) -> (Result<Answer, Refusal>, u8) {
     let handle = running.call.handle();
     let remaining_ms = remaining_us / 1000;
-    let pass = || pass_gate(node, context);
+    let try_pass = || try_pass_gate(node, context);
     let sent = exchange(
         &node.dialect,
         &node.target,
         handle,
         outbound,
         remaining_ms,
-        pass,
+        try_pass,
     )
     .await;
     match sent {
         Err(refusal) => running.fail(TargetResult::Failed, refusal),
-        Ok(answer) => deliver(node, running, answer, remaining_us).await,
+        Ok(target_response) => handle_response(node, running, target_response, remaining_us).await,
     }
 }
 
-async fn deliver<P: Policies>(
+async fn handle_response<P: Policies>(
     node: &Node<P>,
-    running: Running<P>,
-    answer: TargetAnswer,
+    running: RunningRequest<P>,
+    target_response: TargetResponse,
     remaining_us: u64,
 ) -> (Result<Answer, Refusal>, u8) {
-    let TargetAnswer {
+    let TargetResponse {
         response,
-        lease,
-        word,
-    } = answer;
-    if let Some(busy_ratio) = word.busy_ratio {
+        connection,
+        signal,
+    } = target_response;
+    if let Some(busy_ratio) = signal.busy_ratio {
         let received_us = node.timer.now_us();
         node.admission().report(LoadReport {
             busy_ratio,
             received_us,
         });
     }
-    if let Some(refusal) = word
+    if let Some(refusal) = signal
         .refusal
         .filter(|refusal| refusal.outcome != Outcome::NotRun)
     {
         return running.fail(TargetResult::Failed, refusal);
     }
     let (parts, mut body) = response.into_parts();
-    let result = if word.is_shed {
+    let result = if signal.is_shed {
         TargetResult::Shed
     } else {
         TargetResult::Answered
     };
-    if let Some(class) = running.new_class.filter(|_| word.refusal.is_none()) {
+    if let Some(class) = running.new_class.filter(|_| signal.refusal.is_none()) {
         let has_failed = parts.status.is_server_error();
         node.downstream().note_end(class, has_failed);
     }
     match collect(&mut body, node.settings.buffered_answer_bytes).await {
         Err(_) => running.fail(TargetResult::Failed, Refusal::unknown(Reason::BadAnswer)),
         Ok(Collected::Whole(bytes)) => {
-            lease.keep(word.idle_limit);
-            if let Some(refusal) = word.refusal {
+            connection.return_to_pool(signal.idle_limit);
+            if let Some(refusal) = signal.refusal {
                 return running.fail(result, refusal);
             }
             let unspent = running.end(result);
@@ -309,31 +310,31 @@
         }
         Ok(Collected::Larger(head)) => {
             let limit = Duration::from_micros(remaining_us);
-            let guard = Stream {
+            let stream = StreamedResponse {
                 running,
-                lease,
-                idle_limit: word.idle_limit,
+                connection,
+                idle_limit: signal.idle_limit,
             };
-            let body = pump(head, body, limit, guard, end_stream);
-            // The call still runs and may spend its allotment.
+            let body = pump(head, body, limit, stream, finish_stream);
+            // The call still runs and may spend its retry allotment.
             (Ok(Answer::new(parts.status, parts.headers, body)), 0)
         }
     }
 }
 
-/// What a streamed answer holds until its end.
-struct Stream<P: Policies> {
-    running: Running<P>,
-    lease: Lease,
+/// What a streamed response holds until it ends.
+struct StreamedResponse<P: Policies> {
+    running: RunningRequest<P>,
+    connection: PooledConnection,
     idle_limit: Option<Duration>,
 }
 
-fn end_stream<P: Policies>(stream: Stream<P>, is_whole: bool) {
-    if is_whole {
-        stream.lease.keep(stream.idle_limit);
+fn finish_stream<P: Policies>(stream: StreamedResponse<P>, is_complete: bool) {
+    if is_complete {
+        stream.connection.return_to_pool(stream.idle_limit);
         stream.running.end(TargetResult::Answered);
     } else {
-        drop(stream.lease);
+        drop(stream.connection);
         stream.running.end(TargetResult::Failed);
     }
 }
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -11,8 +11,8 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Longest wait for a condition; far more than any takes.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Longest wait for a condition; conditions normally hold much sooner.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const ZONE: &str = "a";
 
 fn set_evacuated(instance: &Instance, is_evacuated: bool) {
@@ -27,68 +27,76 @@
     client::send(instance.caller_address(), request).await
 }
 
-/// Sends until an answer has this status; returns that answer.
+/// Sends requests until a response has this status; returns that response.
 async fn get_until(instance: &Instance, status: u16) -> client::Seen {
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     loop {
-        let seen = get(instance).await;
-        if seen.status == status {
-            return seen;
+        let response = get(instance).await;
+        if response.status == status {
+            return response;
         }
-        assert!(begun.elapsed() < LIMIT, "{}", seen.text());
+        assert!(started.elapsed() < WAIT_TIMEOUT, "{}", response.text());
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A caller's node has not learned yet that a zone is evacuated. The node
-/// beside the target refuses, and the request is served elsewhere; it failed
-/// where that used up its retries.
+/// The caller's node has not received the evacuation of a zone yet. The target's node
+/// refuses, and the request is served elsewhere; it failed when these refusals used
+/// up its retries.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_targets_node_refuses_what_others_still_send() {
+async fn targets_node_refuses_requests_to_evacuated_zone() {
     let mesh = Mesh::start(&["a", "a"]).await;
     set_evacuated(&mesh.instances[1], true);
     tokio::time::sleep(Duration::from_millis(100)).await;
     for _ in 0..50 {
-        let seen = get(&mesh.instances[0]).await;
-        assert_eq!(seen.summary(), (200, "whole", ""), "{}", seen.text());
+        let response = get(&mesh.instances[0]).await;
+        assert_eq!(
+            response.summary(),
+            (200, "whole", ""),
+            "{}",
+            response.text()
+        );
     }
     assert!(mesh.instances[1].target.executions().is_empty());
     assert_eq!(mesh.instances[0].target.executions().len(), 50);
 }
 
-/// All targets of a service are in evacuated zones. Callers are told at once
-/// that nothing ran and when to come back, and are served after the evacuation
-/// is taken back.
+/// All targets of a service are in evacuated zones. Callers are refused at once as
+/// not run, with a retry delay, and are served after the evacuation is revoked.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_service_without_another_zone_is_refused_until_it_is_taken_back() {
+async fn service_without_another_zone_is_refused_until_evacuation_is_revoked() {
     let mesh = Mesh::start(&["a", "a"]).await;
     for instance in mesh.instances.iter() {
         set_evacuated(instance, true);
     }
-    let seen = get_until(&mesh.instances[0], 503).await;
-    assert_eq!(seen.header("dogwood-outcome"), "not-run");
-    assert!(!seen.header("retry-after").is_empty(), "{}", seen.text());
-    let executed = || -> usize {
+    let response = get_until(&mesh.instances[0], 503).await;
+    assert_eq!(response.header("dogwood-outcome"), "not-run");
+    assert!(
+        !response.header("retry-after").is_empty(),
+        "{}",
+        response.text()
+    );
+    let count_executions = || -> usize {
         let executions = mesh.instances.iter();
         executions
             .map(|instance| instance.target.executions().len())
             .sum()
     };
-    let before = executed();
+    let previous_count = count_executions();
     for _ in 0..20 {
         assert_eq!(get(&mesh.instances[0]).await.status, 503);
     }
-    assert_eq!(executed(), before);
+    assert_eq!(count_executions(), previous_count);
     for instance in mesh.instances.iter() {
         set_evacuated(instance, false);
     }
     get_until(&mesh.instances[0], 200).await;
 }
 
-/// A zone is taken back with cold targets that have not told so yet. They fell
-/// over under the work that came back at once.
+/// An evacuation is revoked while the zone's targets are cold and have not reported
+/// it yet. They failed under the load that returned at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn targets_of_a_zone_that_is_taken_back_get_no_burst() {
+async fn targets_get_no_burst_after_evacuation_is_revoked() {
     const COLD_RATE_PER_S: u32 = 10;
     let mesh = Mesh::start(&["a"]).await;
     let instance = &mesh.instances[0];
@@ -98,19 +106,22 @@
     instance.running.send_replace(Arc::new(running));
     set_evacuated(instance, true);
     get_until(instance, 503).await;
-    let before = instance.target.executions().len();
+    let previous_count = instance.target.executions().len();
     set_evacuated(instance, false);
-    let begun = tokio::time::Instant::now();
-    let mut refused = None;
-    while begun.elapsed() < Duration::from_millis(500) {
-        let seen = get(instance).await;
-        if seen.status != 200 {
-            refused = Some(seen);
+    let started = tokio::time::Instant::now();
+    let mut refusal = None;
+    while started.elapsed() < Duration::from_millis(500) {
+        let response = get(instance).await;
+        if response.status != 200 {
+            refusal = Some(response);
         }
     }
-    let ran = instance.target.executions().len() - before;
-    assert!((1..=COLD_RATE_PER_S as usize).contains(&ran), "{ran}");
-    let refused = refused.expect("more came than a cold target bears");
-    assert_eq!(refused.header("dogwood-outcome"), "not-run");
+    let executed_count = instance.target.executions().len() - previous_count;
+    assert!(
+        (1..=COLD_RATE_PER_S as usize).contains(&executed_count),
+        "{executed_count}"
+    );
+    let refusal = refusal.expect("more requests were sent than a cold target can handle");
+    assert_eq!(refusal.header("dogwood-outcome"), "not-run");
     get_until(instance, 200).await;
 }
--- a/tests/loop_lag.rs
+++ b/tests/loop_lag.rs
@@ -1,36 +1,36 @@
-//! A node whose thread falls behind tells so.
+//! A node whose thread falls behind reports it as load.
 
 use dogwoodbridge::{node::LoopLag, timer::TICK_MS};
 
-/// One node is left beside the last target of a service, and its part of a core
-/// is used up. Requests wait in its sockets, where no queue counts them. Told as
-/// idle, it gets ever more, and users wait until they give up.
+/// The node of the last target of a service uses up its share of a core. Requests
+/// wait in its sockets, where no queue counts them. If it were reported as idle, it
+/// would receive more and more requests, and callers would time out.
 #[test]
-fn a_late_thread_is_told_as_load() {
+fn late_thread_is_reported_as_load() {
     struct Case {
         name: &'static str,
-        /// Lateness of each tick of a repeating row, in milliseconds.
+        /// Lateness of successive ticks in milliseconds; repeated.
         late_ms: &'static [u64],
         expected: std::ops::RangeInclusive<u16>,
     }
     let cases = [
         Case {
-            name: "in time",
+            name: "on time",
             late_ms: &[0],
             expected: 0..=0,
         },
         Case {
-            name: "as late as timers are",
+            name: "usual timer lateness",
             late_ms: &[3, 0, 5],
             expected: 0..=0,
         },
         Case {
-            name: "late by its turn on a shared core",
+            name: "waits for its turn on a shared core",
             late_ms: &[20],
             expected: 150..=200,
         },
         Case {
-            name: "without its core for most of a tenth of a second",
+            name: "without its core for 65 ms in every fourth tick",
             late_ms: &[0, 0, 0, 65],
             expected: 130..=250,
         },
@@ -38,23 +38,24 @@
     for case in cases {
         let mut lag = LoopLag::new();
         let mut now_us = 1_000_000;
-        for step in 0..200 {
-            let late_ms = case.late_ms[step % case.late_ms.len()];
+        for tick in 0..200 {
+            let late_ms = case.late_ms[tick % case.late_ms.len()];
             now_us += (TICK_MS + late_ms) * 1000;
-            lag.note(now_us);
+            lag.record_tick(now_us);
         }
         let percent = lag.load_percent();
         assert!(case.expected.contains(&percent), "{}: {percent}", case.name);
     }
 }
 
-/// A node that had nothing to do is not late: nobody waited for it.
+/// Ticks are rare while a node is idle. The long interval must not count as lag: no
+/// request waited.
 #[test]
-fn a_pause_is_no_lag() {
+fn pause_does_not_count_as_lag() {
     let mut lag = LoopLag::new();
-    lag.note(1_000_000);
+    lag.record_tick(1_000_000);
     lag.pause();
-    lag.note(9_000_000);
-    lag.note(9_000_000 + TICK_MS * 1000);
+    lag.record_tick(9_000_000);
+    lag.record_tick(9_000_000 + TICK_MS * 1000);
     assert_eq!(lag.load_percent(), 0);
 }
--- a/tests/target_registration.rs
+++ b/tests/target_registration.rs
@@ -1,5 +1,5 @@
-//! Which process of a target counts, when its notices are late, doubled or of
-//! an earlier process.
+//! Which process of a target is the current one when notices are delayed,
+//! duplicated or from an earlier process.
 
 use dogwoodbridge::target::{Registration, Standing};
 
@@ -13,113 +13,117 @@
     notices: Vec<(Notice, Option<Standing>)>,
 }
 
-/// A partition holds a heartbeat up; meanwhile its process crashed and another
-/// one registered at the address. Believed, the old one would have all
-/// requests sent to a process that is gone, and refused by the new one.
+/// A partition delays a heartbeat while its process crashes and another one
+/// registers at the same address. If the node accepted it, all requests would be
+/// addressed to the old process and refused by the new one.
 #[test]
-fn only_the_present_process_is_believed() {
+fn only_current_process_is_accepted() {
     use {
         Notice::{Alive, Leave},
-        Standing::{New, Next, Outdated},
+        Standing::{Current, NewProcess, Outdated},
     };
     let cases = [
         Case {
             name: "in order",
             notices: vec![
-                (Alive("i-1", 100, 1), Some(New)),
-                (Alive("i-1", 100, 2), Some(Next)),
-                (Alive("i-1", 100, 9), Some(Next)),
+                (Alive("i-1", 100, 1), Some(NewProcess)),
+                (Alive("i-1", 100, 2), Some(Current)),
+                (Alive("i-1", 100, 9), Some(Current)),
             ],
         },
         Case {
-            name: "overtaken",
+            name: "out of order",
             notices: vec![
-                (Alive("i-1", 100, 5), Some(New)),
+                (Alive("i-1", 100, 5), Some(NewProcess)),
                 (Alive("i-1", 100, 4), Some(Outdated)),
                 (Alive("i-1", 100, 5), Some(Outdated)),
-                (Alive("i-1", 100, 6), Some(Next)),
+                (Alive("i-1", 100, 6), Some(Current)),
             ],
         },
         Case {
-            name: "an earlier process's heartbeat arrives late",
+            name: "delayed heartbeat of an earlier process",
             notices: vec![
-                (Alive("i-1", 100, 5), Some(New)),
-                (Alive("i-2", 200, 1), Some(New)),
+                (Alive("i-1", 100, 5), Some(NewProcess)),
+                (Alive("i-2", 200, 1), Some(NewProcess)),
                 (Alive("i-1", 100, 6), Some(Outdated)),
-                (Alive("i-2", 200, 2), Some(Next)),
+                (Alive("i-2", 200, 2), Some(Current)),
             ],
         },
         Case {
-            name: "started again under its own name, counting anew",
+            name: "restarted with the same instance id and a new sequence",
             notices: vec![
-                (Alive("i-1", 100, 50), Some(New)),
-                (Alive("i-1", 300, 1), Some(New)),
+                (Alive("i-1", 100, 50), Some(NewProcess)),
+                (Alive("i-1", 300, 1), Some(NewProcess)),
                 (Alive("i-1", 100, 51), Some(Outdated)),
-                (Alive("i-1", 300, 2), Some(Next)),
+                (Alive("i-1", 300, 2), Some(Current)),
             ],
         },
         Case {
-            name: "a heartbeat after the leave",
+            name: "heartbeat after the leave notice",
             notices: vec![
-                (Alive("i-1", 100, 1), Some(New)),
+                (Alive("i-1", 100, 1), Some(NewProcess)),
                 (Leave("i-1", None), None),
                 (Alive("i-1", 100, 2), Some(Outdated)),
-                (Alive("i-2", 200, 1), Some(New)),
+                (Alive("i-2", 200, 1), Some(NewProcess)),
             ],
         },
     ];
     for case in cases {
         let mut registration = Registration::new();
         for (index, (notice, expected)) in case.notices.into_iter().enumerate() {
-            let standing = match notice {
-                Alive(id, started, sequence) => {
-                    Some(registration.alive(id, started, Some(sequence)))
+            let status = match notice {
+                Alive(instance_id, started_unix_ms, sequence) => {
+                    Some(registration.alive(instance_id, started_unix_ms, Some(sequence)))
                 }
-                Leave(id, started) => {
-                    assert!(registration.leave(id, started), "{}: {index}", case.name);
+                Leave(instance_id, started_unix_ms) => {
+                    assert!(
+                        registration.leave(instance_id, started_unix_ms),
+                        "{}: {index}",
+                        case.name
+                    );
                     None
                 }
             };
-            assert_eq!(standing, expected, "{}: notice {index}", case.name);
+            assert_eq!(status, expected, "{}: notice {index}", case.name);
         }
     }
 }
 
-/// The leave of an earlier process arrives when another one has taken its
-/// place. Obeyed, it would take a healthy target out of service for good.
+/// The leave notice of an earlier process arrives after another one has replaced it.
+/// If the node applied it, a healthy target would be out of service for good.
 #[test]
-fn a_leave_of_another_process_is_not_obeyed() {
+fn leave_notice_of_another_process_is_ignored() {
     struct Case {
         name: &'static str,
         leave: (&'static str, Option<u64>),
-        is_obeyed: bool,
+        is_applied: bool,
     }
     let cases = [
         Case {
-            name: "other name",
+            name: "other instance id",
             leave: ("i-1", Some(100)),
-            is_obeyed: false,
+            is_applied: false,
         },
         Case {
-            name: "same name, earlier start",
+            name: "same instance id, earlier start time",
             leave: ("i-2", Some(100)),
-            is_obeyed: false,
+            is_applied: false,
         },
         Case {
-            name: "same name, no start told",
+            name: "same instance id, no start time",
             leave: ("i-2", None),
-            is_obeyed: true,
+            is_applied: true,
         },
         Case {
-            name: "the present process",
+            name: "current process",
             leave: ("i-2", Some(200)),
-            is_obeyed: true,
+            is_applied: true,
         },
     ];
     for case in cases {
         let mut registration = Registration::new();
         registration.alive("i-2", 200, Some(1));
-        let is_obeyed = registration.leave(case.leave.0, case.leave.1);
-        assert_eq!(is_obeyed, case.is_obeyed, "{}", case.name);
+        let is_applied = registration.leave(case.leave.0, case.leave.1);
+        assert_eq!(is_applied, case.is_applied, "{}", case.name);
     }
 }
