--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -289,7 +289,7 @@
         self.drain.cancelled().await;
     }
 
-    /// Whether no request runs or waits, is in flight, and no caller is connected.
+    /// Whether no request runs, waits or is in flight and no caller is connected.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let (running, waiting) = self.admission().counts();
@@ -329,8 +329,7 @@
         lock(&self.admission)
     }
 
-    /// Admission level that this node propagates upstream in response headers to
-    /// requests of this class.
+    /// Admission level propagated upstream in responses to requests of this class.
     #[must_use]
     pub fn level(&self, class: Class) -> AdmissionLevel {
         let now_us = self.timer.now_us();
--- a/src/node/route_table.rs
+++ b/src/node/route_table.rs
@@ -59,7 +59,7 @@
     policy: R,
     rows: BTreeMap<String, Row>,
     links: HashMap<String, (NodeIdentity, Arc<PeerLink>)>,
-    nodes: HashMap<TargetKey, String>,
+    node_names: HashMap<TargetKey, String>,
 }
 
 impl<R: RoutePolicy> Default for RouteTable<R> {
@@ -76,7 +76,7 @@
             policy: R::new(),
             rows: BTreeMap::new(),
             links: HashMap::new(),
-            nodes: HashMap::new(),
+            node_names: HashMap::new(),
         }
     }
 
@@ -93,7 +93,10 @@
         now_us: u64,
     ) -> Result<(TargetKey, TargetLocation), Refusal> {
         let target = self.policy.pick(request, tried, now_us, &mut rand::rng())?;
-        let row = self.nodes.get(&target).and_then(|node| self.rows.get(node));
+        let row = self
+            .node_names
+            .get(&target)
+            .and_then(|node| self.rows.get(node));
         let location = row.map(|row| row.location.clone());
         if let Some(TargetLocation::Peer(link)) = &location {
             link.set_silent(false);
@@ -121,7 +124,7 @@
     /// Name of the target's node.
     #[must_use]
     pub fn node_of(&self, target: TargetKey) -> &str {
-        self.nodes.get(&target).map_or("", String::as_str)
+        self.node_names.get(&target).map_or("", String::as_str)
     }
 
     /// Records a response of the node with this name.
@@ -267,7 +270,7 @@
             None => TargetLocation::Own,
         };
         let target = self.policy.add(info, now_us);
-        self.nodes.insert(target, node.to_owned());
+        self.node_names.insert(target, node.to_owned());
         let row = Row {
             target,
             info,
@@ -280,7 +283,7 @@
     fn remove(&mut self, node: &str) {
         if let Some(row) = self.rows.remove(node) {
             self.policy.remove(row.target);
-            self.nodes.remove(&row.target);
+            self.node_names.remove(&row.target);
         }
     }
 }
