--- a/benches/quota.rs
+++ b/benches/quota.rs
@@ -48,8 +48,8 @@
 }
 
 fn report(what: &str, count: u32, elapsed: Duration) {
-    let each_ns = elapsed.as_nanos() / u128::from(count);
-    println!("{what}: {each_ns} ns each, {count} times");
+    let mean_ns = elapsed.as_nanos() / u128::from(count);
+    println!("{what}: {mean_ns} ns each, {count} times");
 }
 
 #[tokio::main(flavor = "current_thread")]
@@ -66,7 +66,7 @@
     let view = View {
         members: vec![member],
     };
-    let always = Snapshot {
+    let always_fresh = Snapshot {
         freshness: Freshness::Fresh,
         valid_until_ms: u64::MAX,
         quota_until_ms: u64::MAX,
@@ -74,7 +74,7 @@
     let names = Names::new();
     let workspace = names.workspace("shop");
     let (_view, view) = watch::channel(Arc::new(view));
-    let (_freshness, freshness) = watch::channel(always);
+    let (_freshness, freshness) = watch::channel(always_fresh);
     let (_rates, rates) = watch::channel(Arc::new(Rates::from([(workspace, RATE)])));
     let (client, _calls) = rpc::channel();
     let quota = quota::spawn(QuotaInputs {
@@ -96,7 +96,7 @@
         admitted_count += u32::from(quota.admit(workspace, RATE, Class::Standard).await.is_ok());
     }
     report(
-        "admit, asks of the bank included",
+        "admit, including borrow requests",
         ADMIT_COUNT,
         started.elapsed(),
     );
@@ -114,7 +114,7 @@
         now_ms: 1,
         unix_ms: 1_700_000_000_000,
     };
-    let answer = StoredAnswer {
+    let response = StoredAnswer {
         status: 200,
         headers: vec![],
         body: bytes::Bytes::from_static(b"done"),
@@ -124,7 +124,7 @@
         let header = format!("order {number}");
         let request = KeyedRequest::new(WorkspaceKey::new(0), "shop", &header, 1);
         table.begin(&request, time, Freshness::Fresh);
-        table.finish(request.key, Finish::Answered(answer.clone()), time);
+        table.finish(request.key, Finish::Answered(response.clone()), time);
     }
     report("begin and finish a key", KEY_COUNT, started.elapsed());
 }
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -1,24 +1,24 @@
-//! Token bucket in whole units.
+//! Token bucket with integer units, for shares of slices.
 
 use super::{Rate, UNITS_PER_TOKEN};
 
-/// A slice of one burst token in units.
+/// Units that one slice holds per token of the burst.
 const UNITS_PER_SLICE_TOKEN: u64 = 1_000_000;
 
-/// A share's accrued level and when it was last brought up to date.
+/// Accrued level of a share and the time of its last update.
 ///
-/// A share of `n` slices of rate R accrues `n * R` units in a microsecond and
-/// holds at most `n * B` slice tokens; nothing is ever rounded.
+/// A share of `n` slices accrues `n * rate_per_s` units per microsecond and
+/// holds at most `n * burst_count` slice tokens; nothing is rounded.
 #[derives::key]
 pub struct Bucket {
     /// In units of [`UNITS_PER_TOKEN`].
     pub level: u64,
-    /// Accrual is counted from here.
+    /// Time of the last update; accrual counts from here.
     pub updated_us: u64,
 }
 
 impl Bucket {
-    /// An empty bucket that accrues from `now_us` on.
+    /// Creates an empty bucket that accrues from `now_us`.
     #[must_use]
     pub const fn new(now_us: u64) -> Self {
         Self {
@@ -36,25 +36,25 @@
         self.updated_us = self.updated_us.max(now_us);
     }
 
-    /// Takes everything out.
+    /// Empties the bucket and returns its level.
     pub const fn drain(&mut self) -> u64 {
         let level = self.level;
         self.level = 0;
         level
     }
 
-    /// Takes up to `token_count` whole tokens out; returns how many.
+    /// Removes up to `token_count` whole tokens and returns their number.
     pub fn take(&mut self, token_count: u32) -> u32 {
         let whole_count = self.level / UNITS_PER_TOKEN;
-        let taken = u32::try_from(whole_count)
+        let taken_count = u32::try_from(whole_count)
             .unwrap_or(u32::MAX)
             .min(token_count);
-        self.level -= u64::from(taken) * UNITS_PER_TOKEN;
-        taken
+        self.level -= u64::from(taken_count) * UNITS_PER_TOKEN;
+        taken_count
     }
 }
 
-/// Most that the share of so many slices may hold.
+/// Highest level of a share of `slice_count` slices, in units.
 #[must_use]
 pub fn capacity(rate: Rate, slice_count: u64) -> u64 {
     u64::from(rate.burst_count) * slice_count * UNITS_PER_SLICE_TOKEN
--- a/src/quota/division.rs
+++ b/src/quota/division.rs
@@ -1,16 +1,14 @@
-//! Division of a workspace's rate over the nodes that ask for it.
+//! Divides a workspace's rate among the nodes that need it.
 //!
-//! Every node of the fleet owns an even share of each rate. By reporting, a
-//! node lends its share to the divider for a while; the divider keeps one
-//! bucket for what it was lent and gives tokens out of it to whoever needs
-//! them. Nothing is lent by nodes that cannot be reached, and these admit by
-//! their even share alone, so that the sum stays within the rate however the
-//! fleet is split.
+//! Every node owns an even share of each rate and lends it to the divider by
+//! reporting. The divider keeps one bucket of the lent shares and grants tokens
+//! from it. Nodes that cannot reach it lend nothing and admit by their even
+//! share alone, so the sum stays within the rate however the fleet is
+//! partitioned.
 //!
-//! Pattern: a workspace sends nearly what it may, a few requests a second at
-//! each node. Buckets at the nodes refuse whatever comes in clumps while those
-//! of other nodes overflow, and requests within the rate are lost. One bucket
-//! loses nothing.
+//! Separate buckets per node would refuse clustered requests while other nodes'
+//! buckets overflow: a workspace near its rate, with a few requests per second
+//! per node, would lose requests within its rate. A single bucket avoids this.
 
 use {
     super::{Rate, RefillBucket},
@@ -18,125 +16,134 @@
     std::collections::{BTreeMap, HashMap, HashSet},
 };
 
-/// How long a report lends the reporter's share, counted from its arrival;
-/// also how long a node relies on a grant, counted from when it asked.
+/// How long a report lends the reporter's share, counted from its arrival. Also
+/// how long a node relies on a grant, counted from when it sent the report.
 pub const LEASE_US: u64 = 1_000_000;
 
-/// Time of its rate that a new process brings to the bucket, in seconds. All
-/// processes may be killed right after a burst; users tolerate an excess of a
-/// tenth over five seconds, which is half a second of the rate or more.
-const FIRST_TOKENS_S: f64 = 0.4;
-/// Most that new processes bring, as a part of the burst.
-const FIRST_TOKENS_RATIO: f64 = 0.5;
+/// Initial tokens of new processes, in seconds of the rate. All processes may
+/// be killed right after a burst; the tolerated excess is a tenth over five
+/// seconds, which is at least half a second of the rate.
+const INITIAL_TOKENS_S: f64 = 0.4;
+/// Upper bound of the initial tokens, as a ratio of the burst.
+const INITIAL_TOKENS_RATIO: f64 = 0.5;
 
-/// Level of the bucket, as a part of the burst, that a class leaves to the
-/// classes above it, from the first to be shed to the last. A workspace's own
-/// reads would otherwise use up the rate that its orders need.
+/// Bucket level reserved for more important classes, as a ratio of the burst,
+/// from the class shed first to the one shed last. Without it a workspace's
+/// browse requests would use up the rate that its critical requests need.
 const RESERVED_RATIOS: [f64; CLASS_COUNT] = [0.2, 0.1, 0.0];
-/// Part of the free level that is given out ahead of need.
+/// Ratio of the free level that is granted ahead of need.
 const AHEAD_RATIO: f64 = 0.5;
 
-/// Numbers by class, from the first to be shed to the last.
+/// Counts by class, from the class shed first to the one shed last.
 pub type ClassCounts = [u32; CLASS_COUNT];
 
-/// What a node needs of a workspace's rate.
+/// Tokens that a node needs of a workspace's rate.
 #[derives::value]
 #[derive(Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct TokenNeed {
     /// Requests that wait for a token.
     pub waiting_counts: ClassCounts,
-    /// Tokens wanted for requests that will soon come.
+    /// Tokens for requests expected soon.
     pub ahead_counts: ClassCounts,
-    /// Tokens that the node gives back unused.
+    /// Tokens that the node returns unused.
     pub returned_count: u32,
 }
 
-/// What a node gets of a workspace's rate.
+/// Tokens granted to a node out of a workspace's rate.
 #[derives::value]
 #[derive(Copy, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct TokenGrant {
-    /// Tokens.
+    /// Granted tokens.
     pub counts: ClassCounts,
-    /// When a class that got less than it waits for should ask again; 0 for a
-    /// class that got all.
+    /// Milliseconds until a class that got fewer tokens than it has waiting
+    /// requests should ask again; 0 for a class that got all.
     pub empty_for_ms: ClassCounts,
 }
 
-/// A process whose share is lent to the divider.
+/// Share that a process has lent to the divider.
 #[derive(Debug, Clone)]
 struct LentShare {
     received_us: u64,
     ahead_counts: HashMap<String, u32>,
 }
 
-/// The bucket of one workspace.
+/// Bucket of one workspace.
 #[derive(Debug, Clone)]
 struct Account {
     bucket: RefillBucket,
-    /// Processes that have asked for tokens; new ones brought some.
-    known: HashSet<u64>,
+    /// Processes that have requested tokens; a new one adds its initial tokens
+    /// at its first request.
+    known_process_ids: HashSet<u64>,
 }
 
-/// What reporters have lent to this node; no I/O, no clock.
+/// Shares that reporters have lent to this node. Pure state: performs no I/O
+/// and reads no clock.
 #[derive(Debug, Clone, Default)]
 pub struct Division {
     reporters: BTreeMap<String, LentShare>,
     accounts: HashMap<String, Account>,
-    /// Since when shares have been lent without a pause.
+    /// Start of the current period in which at least one share is lent.
     lent_since_us: u64,
-    /// Processes that were granted nothing by anyone before they came here.
-    new_processes: HashSet<u64>,
+    /// Processes that had been granted nothing by any divider at their first
+    /// report.
+    new_process_ids: HashSet<u64>,
 }
 
-/// Who reports.
+/// Sender of a report.
 #[derive(Debug, Clone, Copy)]
 pub struct Reporter<'a> {
-    /// Name of the node.
+    /// Node id.
     pub node_id: &'a str,
-    /// Drawn anew by each process.
+    /// Random id of the process.
     pub process_id: u64,
-    /// Whether the process was granted anything before, here or elsewhere.
+    /// Whether no divider has granted anything to the process yet.
     pub is_new: bool,
 }
 
 impl Division {
-    /// Nobody has reported.
+    /// Creates a division without reporters.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in a report: the reporter's share is lent from now on.
-    pub fn report(&mut self, from: Reporter<'_>, needs: &HashMap<String, TokenNeed>, now_us: u64) {
+    /// Records a report, which lends the reporter's share from now on.
+    pub fn record_report(
+        &mut self,
+        reporter: Reporter<'_>,
+        needs: &HashMap<String, TokenNeed>,
+        now_us: u64,
+    ) {
         self.reporters
-            .retain(|_, reporter| now_us < reporter.received_us + LEASE_US);
+            .retain(|_, lent_share| now_us < lent_share.received_us + LEASE_US);
         if self.reporters.is_empty() {
             self.lent_since_us = now_us;
         }
-        if from.is_new {
-            self.new_processes.insert(from.process_id);
+        if reporter.is_new {
+            self.new_process_ids.insert(reporter.process_id);
         }
         let ahead_counts = needs
             .iter()
             .map(|(workspace, need)| (workspace.clone(), need.ahead_counts.iter().sum()));
-        let reporter = LentShare {
+        let lent_share = LentShare {
             received_us: now_us,
             ahead_counts: ahead_counts.collect(),
         };
-        self.reporters.insert(from.node_id.to_owned(), reporter);
+        self.reporters
+            .insert(reporter.node_id.to_owned(), lent_share);
     }
 
-    /// Nodes whose shares are lent at present.
+    /// Number of nodes whose shares are currently lent.
     #[must_use]
     pub fn reporter_count(&self, now_us: u64) -> usize {
-        self.live(now_us).count()
+        self.active_shares(now_us).count()
     }
 
-    /// Gives a reporter what it needs of a workspace, as far as the bucket has
-    /// it, in a fleet of so many nodes.
+    /// Grants a reporter the tokens it needs of a workspace, as far as the
+    /// bucket has them, in a fleet of `member_count` nodes.
     pub fn grant(
         &mut self,
-        from: Reporter<'_>,
+        reporter: Reporter<'_>,
         workspace: &str,
         rate: Rate,
         need: &TokenNeed,
@@ -146,60 +153,62 @@
         let reporter_count = self.reporter_count(now_us).max(1);
         let lent_ratio = reporter_count as f64 / member_count.max(reporter_count) as f64;
         let ahead_total = self.ahead_total(workspace, now_us);
-        // A workspace that nobody asked for refills as well: its first requests
-        // after a pause may be as many as its burst.
+        // The bucket refills also while nobody requests tokens: the first
+        // requests after a pause may be as many as the burst.
         let lent_since_us = self.lent_since_us;
         let account = self
             .accounts
             .entry(workspace.to_owned())
             .or_insert_with(|| Account {
                 bucket: RefillBucket::new(lent_since_us),
-                known: HashSet::new(),
+                known_process_ids: HashSet::new(),
             });
         let bucket = &mut account.bucket;
         bucket.skip_to(lent_since_us);
         bucket.advance(rate, lent_ratio, now_us);
-        let is_new = self.new_processes.contains(&from.process_id);
-        if account.known.insert(from.process_id) && is_new {
-            bucket.add(first_tokens(rate) / member_count.max(1) as f64);
+        let is_new = self.new_process_ids.contains(&reporter.process_id);
+        if account.known_process_ids.insert(reporter.process_id) && is_new {
+            bucket.add(initial_tokens(rate) / member_count.max(1) as f64);
         }
         bucket.add(f64::from(need.returned_count));
         let mut grant = TokenGrant::default();
         for class in Class::ALL.into_iter().rev() {
-            let place = class.index();
-            let wanted = need.waiting_counts[place];
-            let given = bucket.take(wanted, RESERVED_RATIOS[place]);
-            grant.counts[place] = given;
-            if given < wanted {
-                grant.empty_for_ms[place] = bucket.empty_for_ms(RESERVED_RATIOS[place]);
+            let index = class.index();
+            let wanted_count = need.waiting_counts[index];
+            let granted_count = bucket.take(wanted_count, RESERVED_RATIOS[index]);
+            grant.counts[index] = granted_count;
+            if granted_count < wanted_count {
+                grant.empty_for_ms[index] = bucket.empty_for_ms(RESERVED_RATIOS[index]);
             }
         }
         for class in Class::ALL.into_iter().rev() {
-            let place = class.index();
-            let wanted = need.ahead_counts[place];
-            let share = f64::from(wanted) / f64::from(ahead_total.max(wanted).max(1));
-            let free = bucket.free(RESERVED_RATIOS[place]) * AHEAD_RATIO * share;
-            let given = bucket.take(wanted.min(free as u32), RESERVED_RATIOS[place]);
-            grant.counts[place] += given;
+            let index = class.index();
+            let wanted_count = need.ahead_counts[index];
+            let demand_ratio =
+                f64::from(wanted_count) / f64::from(ahead_total.max(wanted_count).max(1));
+            let free_level = bucket.free(RESERVED_RATIOS[index]) * AHEAD_RATIO * demand_ratio;
+            let granted_count =
+                bucket.take(wanted_count.min(free_level as u32), RESERVED_RATIOS[index]);
+            grant.counts[index] += granted_count;
         }
         grant
     }
 
     fn ahead_total(&self, workspace: &str, now_us: u64) -> u32 {
-        self.live(now_us)
-            .filter_map(|reporter| reporter.ahead_counts.get(workspace))
+        self.active_shares(now_us)
+            .filter_map(|lent_share| lent_share.ahead_counts.get(workspace))
             .sum()
     }
 
-    fn live(&self, now_us: u64) -> impl Iterator<Item = &LentShare> {
+    fn active_shares(&self, now_us: u64) -> impl Iterator<Item = &LentShare> {
         self.reporters
             .values()
-            .filter(move |reporter| now_us < reporter.received_us + LEASE_US)
+            .filter(move |lent_share| now_us < lent_share.received_us + LEASE_US)
     }
 }
 
-/// Tokens that a whole fleet of new processes begins with.
-fn first_tokens(rate: Rate) -> f64 {
-    let by_rate = f64::from(rate.rate_per_s) * FIRST_TOKENS_S;
-    by_rate.min(f64::from(rate.burst_count) * FIRST_TOKENS_RATIO)
+/// Initial tokens of a fleet that consists of new processes only.
+fn initial_tokens(rate: Rate) -> f64 {
+    let by_rate = f64::from(rate.rate_per_s) * INITIAL_TOKENS_S;
+    by_rate.min(f64::from(rate.burst_count) * INITIAL_TOKENS_RATIO)
 }
--- a/src/quota/gate.rs
+++ b/src/quota/gate.rs
@@ -1,9 +1,10 @@
-//! Quota in a running node: local tokens first, one ask of the bank else.
+//! Quota of a running node: spends borrowed tokens and sends one borrow request
+//! when none are left.
 
 use {
     super::{
         BorrowRequest, BorrowResponse, BorrowedTokens, Process, QuotaGate, QuotaOwner, Rate,
-        TokenPool, route::banks,
+        TokenPool, placement::banks,
     },
     crate::{
         freshness::Snapshot,
@@ -25,44 +26,44 @@
     },
 };
 
-/// Longest wait for a bank in the own region. On a busy machine a first call,
-/// which connects, takes longer than 20 ms; what the bank lends after the limit
-/// is lost for a second.
-const ASK_LIMIT_MS: u64 = 60;
+/// Timeout of a borrow request within the region. On a busy machine a first
+/// call, which connects, takes longer than 20 ms; tokens lent after the timeout
+/// are lost for a second.
+const BORROW_TIMEOUT_MS: u64 = 60;
 
-/// Longest wait for a bank in another region.
-const FAR_ASK_LIMIT_MS: u64 = 250;
+/// Timeout of a borrow request to another region.
+const OTHER_REGION_BORROW_TIMEOUT_MS: u64 = 250;
 
 /// Rates in force by workspace.
 pub type Rates = HashMap<WorkspaceKey, Rate>;
 
-/// What quota reads of its node.
+/// Inputs of quota from its node.
 #[derive(Clone)]
 pub struct QuotaInputs {
     /// Slot of this node.
     pub own: Slot,
     /// Region of this node.
     pub region: String,
-    /// Start of this process.
+    /// Start of this process, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
     /// Clock.
     pub timer: Timer,
     /// Names of workspaces.
     pub names: Names,
-    /// Members.
+    /// Membership view.
     pub view: watch::Receiver<Arc<View>>,
     /// Freshness.
     pub freshness: watch::Receiver<Snapshot>,
     /// Rates in force.
     pub rates: watch::Receiver<Arc<Rates>>,
-    /// Calls to other nodes.
+    /// Client for calls to other nodes.
     pub client: RpcClient,
 }
 
-struct Wallet {
-    purse: BorrowedTokens,
+struct BorrowerState {
+    tokens: BorrowedTokens,
     waiters: Vec<oneshot::Sender<bool>>,
-    is_asking: bool,
+    is_borrowing: bool,
 }
 
 #[derive(Default)]
@@ -70,8 +71,8 @@
     pub(super) owner: QuotaOwner,
     pub(super) is_usable: bool,
     pub(super) owner_ids: Vec<String>,
-    pub(super) banks: HashMap<WorkspaceKey, TokenPool>,
-    wallets: HashMap<WorkspaceKey, Wallet>,
+    pub(super) pools: HashMap<WorkspaceKey, TokenPool>,
+    borrowers: HashMap<WorkspaceKey, BorrowerState>,
 }
 
 pub(super) struct Inner {
@@ -80,14 +81,15 @@
     state: Mutex<State>,
 }
 
-/// Quota by leased shares; clones share their state.
+/// Quota by leased shares. Clones share their state.
 #[derive(Clone)]
 pub struct LeasedQuota {
     pub(super) inner: Arc<Inner>,
 }
 
 impl LeasedQuota {
-    /// Quota of a node; to be made on the runtime that shall make its calls.
+    /// Creates the quota of a node. Must be called on the runtime that will run
+    /// its calls.
     #[must_use]
     pub fn new(inputs: QuotaInputs) -> Self {
         let inner = Inner {
@@ -100,12 +102,13 @@
         }
     }
 
-    /// This process made the fleet's first slice table, which is in use now.
+    /// Records that this process created the slice table in force, the first of
+    /// the fleet.
     pub fn created_fleet(&self) {
         self.lock().owner.skip_quarantine();
     }
 
-    /// Follows a version of the slice table.
+    /// Applies a version of the slice table.
     pub fn observe_table(&self, table: &SliceTable) {
         let own = &self.inner.inputs.own;
         let slot = table.find(&own.node_id);
@@ -138,113 +141,128 @@
             .release(slices, |workspace| rate_of(&rates, workspace), now_us);
     }
 
-    /// Renews leases, returns tokens, brings shares up to date.
+    /// Renews leases, returns tokens and brings shares up to date.
     pub fn tick(&self) {
         let rates = self.rates();
         let now_us = self.now_us();
-        let (banks, returning) = {
+        let (active_workspaces, returning) = {
             let mut state = self.lock();
-            let all = rates.iter().map(|(workspace, rate)| (*workspace, *rate));
-            state.owner.track(all, now_us);
-            let awake = state.banks.iter().filter(|(_, bank)| bank.is_awake(now_us));
-            let banks: Vec<WorkspaceKey> = awake.map(|(workspace, _)| *workspace).collect();
-            (banks, returning(&mut state, now_us))
+            let workspace_rates = rates.iter().map(|(workspace, rate)| (*workspace, *rate));
+            state.owner.track(workspace_rates, now_us);
+            let active_pools = state
+                .pools
+                .iter()
+                .filter(|(_, pool)| pool.is_active(now_us));
+            let active_workspaces: Vec<WorkspaceKey> =
+                active_pools.map(|(workspace, _)| *workspace).collect();
+            (active_workspaces, start_returns(&mut state, now_us))
         };
-        for workspace in banks {
-            self.ask_owners(workspace, rate_of(&rates, workspace));
+        for workspace in active_workspaces {
+            self.query_owners(workspace, rate_of(&rates, workspace));
         }
         for workspace in returning {
-            self.spawn_ask(workspace);
+            self.spawn_borrow(workspace);
         }
     }
 
-    fn spawn_ask(&self, workspace: WorkspaceKey) {
+    fn spawn_borrow(&self, workspace: WorkspaceKey) {
         let quota = self.clone();
         self.inner
             .runtime
-            .spawn(async move { quota.ask_bank(workspace).await });
+            .spawn(async move { quota.borrow_for_waiters(workspace).await });
     }
 
-    /// Asks until nobody waits who came before the last ask.
-    async fn ask_bank(&self, workspace: WorkspaceKey) {
+    /// Sends borrow requests until no waiter arrived during the last one.
+    async fn borrow_for_waiters(&self, workspace: WorkspaceKey) {
         loop {
-            let (ask, sent_us, waiters) = {
+            let (request, sent_us, waiters) = {
                 let mut state = self.lock();
                 let now_us = self.now_us();
-                let wallet = self.wallet(&mut state, workspace);
-                let mut waiters = std::mem::take(&mut wallet.waiters);
+                let borrower = self.borrower(&mut state, workspace);
+                let mut waiters = std::mem::take(&mut borrower.waiters);
                 waiters.retain(|waiter| !waiter.is_closed());
                 let need_count = u32::try_from(waiters.len()).unwrap_or(u32::MAX);
-                (wallet.purse.ask(need_count, now_us), now_us, waiters)
+                (
+                    borrower.tokens.build_request(need_count, now_us),
+                    now_us,
+                    waiters,
+                )
             };
-            let answer = self.ask_banks(&ask).await;
+            let response = self.borrow_from_pools(&request).await;
             let mut state = self.lock();
             let now_us = self.now_us();
-            let wallet = self.wallet(&mut state, workspace);
-            if let Some(answer) = answer {
-                wallet.purse.lent(sent_us, answer, now_us);
+            let borrower = self.borrower(&mut state, workspace);
+            if let Some(response) = response {
+                borrower.tokens.apply_response(sent_us, response, now_us);
             }
             for waiter in waiters {
-                let is_admitted = !waiter.is_closed() && wallet.purse.take(now_us);
-                // A caller that left just now: its token is lost, not spent twice.
+                let is_admitted = !waiter.is_closed() && borrower.tokens.take(now_us);
+                // The token of a caller that has just left is lost, not spent
+                // twice.
                 let _ = waiter.send(is_admitted);
             }
-            if wallet.waiters.is_empty() {
-                wallet.is_asking = false;
+            if borrower.waiters.is_empty() {
+                borrower.is_borrowing = false;
                 return;
             }
         }
     }
 
-    /// The bank, or the one of the own zone when it does not answer.
-    async fn ask_banks(&self, ask: &BorrowRequest) -> Option<BorrowResponse> {
+    /// Borrows from the workspace's pool or, if that does not respond, from the
+    /// pool of this node's zone.
+    async fn borrow_from_pools(&self, request: &BorrowRequest) -> Option<BorrowResponse> {
         let inputs = &self.inner.inputs;
-        let name = inputs.names.workspace_name(ask.workspace);
+        let name = inputs.names.workspace_name(request.workspace);
         let view = inputs.view.borrow().clone();
-        for bank in banks(&view, &name, &inputs.own.zone) {
-            if bank.node_id == inputs.own.node_id {
-                return Some(self.borrow(ask.clone()).await);
+        for pool_node in banks(&view, &name, &inputs.own.zone) {
+            if pool_node.node_id == inputs.own.node_id {
+                return Some(self.borrow(request.clone()).await);
             }
-            let limit_ms = match bank.region == inputs.region {
-                true => ASK_LIMIT_MS,
-                false => FAR_ASK_LIMIT_MS,
+            let timeout_ms = match pool_node.region == inputs.region {
+                true => BORROW_TIMEOUT_MS,
+                false => OTHER_REGION_BORROW_TIMEOUT_MS,
             };
-            let call = inputs.client.borrow(bank.rpc_address(), ask.clone());
-            if let Ok(Ok(answer)) = timeout(Duration::from_millis(limit_ms), call).await {
-                return Some(answer);
+            let call = inputs
+                .client
+                .borrow(pool_node.rpc_address(), request.clone());
+            if let Ok(Ok(response)) = timeout(Duration::from_millis(timeout_ms), call).await {
+                return Some(response);
             }
         }
         None
     }
 
-    fn begin(&self, workspace: WorkspaceKey) -> Local {
-        let (answer, is_asking) = {
+    fn try_take(&self, workspace: WorkspaceKey) -> LocalDecision {
+        let (decision, is_borrowing) = {
             let mut state = self.lock();
             let now_us = self.now_us();
-            let wallet = self.wallet(&mut state, workspace);
-            wallet.purse.demand(now_us);
-            if wallet.purse.take(now_us) {
-                return Local::Admitted;
+            let borrower = self.borrower(&mut state, workspace);
+            borrower.tokens.record_demand(now_us);
+            if borrower.tokens.take(now_us) {
+                return LocalDecision::Admitted;
             }
-            if now_us < wallet.purse.empty_until_us() {
-                return Local::Empty;
+            if now_us < borrower.tokens.empty_until_us() {
+                return LocalDecision::Empty;
             }
-            let (waiter, answer) = oneshot::channel();
-            wallet.waiters.push(waiter);
-            (answer, std::mem::replace(&mut wallet.is_asking, true))
+            let (waiter, decision) = oneshot::channel();
+            borrower.waiters.push(waiter);
+            (
+                decision,
+                std::mem::replace(&mut borrower.is_borrowing, true),
+            )
         };
-        if !is_asking {
-            self.spawn_ask(workspace);
+        if !is_borrowing {
+            self.spawn_borrow(workspace);
         }
-        Local::Asked(answer)
+        LocalDecision::Waiting(decision)
     }
 
-    fn wallet<'a>(&self, state: &'a mut State, workspace: WorkspaceKey) -> &'a mut Wallet {
-        let wallets = &mut state.wallets;
-        wallets.entry(workspace).or_insert_with(|| Wallet {
-            purse: BorrowedTokens::new(workspace, self.process()),
+    fn borrower<'a>(&self, state: &'a mut State, workspace: WorkspaceKey) -> &'a mut BorrowerState {
+        let borrowers = &mut state.borrowers;
+        borrowers.entry(workspace).or_insert_with(|| BorrowerState {
+            tokens: BorrowedTokens::new(workspace, self.process()),
             waiters: Vec::new(),
-            is_asking: false,
+            is_borrowing: false,
         })
     }
 
@@ -271,10 +289,10 @@
     }
 }
 
-enum Local {
+enum LocalDecision {
     Admitted,
     Empty,
-    Asked(oneshot::Receiver<bool>),
+    Waiting(oneshot::Receiver<bool>),
 }
 
 impl QuotaGate for LeasedQuota {
@@ -288,10 +306,10 @@
         rate: Rate,
         _class: Class,
     ) -> Result<(), Refusal> {
-        let is_admitted = match self.begin(workspace) {
-            Local::Admitted => true,
-            Local::Empty => false,
-            Local::Asked(answer) => answer.await.unwrap_or(false),
+        let is_admitted = match self.try_take(workspace) {
+            LocalDecision::Admitted => true,
+            LocalDecision::Empty => false,
+            LocalDecision::Waiting(decision) => decision.await.unwrap_or(false),
         };
         if is_admitted {
             return Ok(());
@@ -308,30 +326,30 @@
     })
 }
 
-/// Workspaces whose tokens go back now; each counts as asking from here on.
-fn returning(state: &mut State, now_us: u64) -> Vec<WorkspaceKey> {
+/// Workspaces whose tokens are to be returned now; marks each as borrowing.
+fn start_returns(state: &mut State, now_us: u64) -> Vec<WorkspaceKey> {
     let mut workspaces = Vec::new();
-    for (workspace, wallet) in &mut state.wallets {
-        if !wallet.is_asking && wallet.purse.collect_returns(now_us) {
-            wallet.is_asking = true;
+    for (workspace, borrower) in &mut state.borrowers {
+        if !borrower.is_borrowing && borrower.tokens.collect_returns(now_us) {
+            borrower.is_borrowing = true;
             workspaces.push(*workspace);
         }
     }
     workspaces
 }
 
-/// Time between two ticks of [`spawn`].
+/// Interval between two ticks of [`spawn`].
 const TICK_PERIOD_MS: u64 = 50;
 
-/// Starts the quota of a node; its ticks end with the timer.
+/// Starts the quota of a node. Its ticks end with the timer.
 #[must_use]
 pub fn spawn(inputs: QuotaInputs) -> LeasedQuota {
     let mut ticks = inputs.timer.subscribe(TICK_PERIOD_MS);
     let quota = LeasedQuota::new(inputs);
-    let ticking = quota.clone();
+    let ticked_quota = quota.clone();
     tokio::spawn(async move {
         while ticks.next().await.is_some() {
-            ticking.tick();
+            ticked_quota.tick();
         }
     });
     quota
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -1,36 +1,36 @@
-//! What a bank has lent to one process of a borrower.
+//! Tokens that a pool has lent to one borrower process.
 
 use super::BorrowRequest;
 
-/// Tokens of one loan that the borrower has not spoken about yet.
+/// Batch that the borrower has not reported on yet.
 #[derives::key]
-struct OpenLoan {
-    loan: u64,
+struct OpenBatch {
+    batch_number: u64,
     token_count: u32,
     expires_us: u64,
 }
 
-/// Loans to one process of a borrower.
+/// Batches lent to one borrower process.
 ///
-/// A statement "of loans up to L, h tokens are unspent" stays an upper bound
-/// for ever, since spending only lowers it. Late and doubled statements are
-/// therefore harmless.
+/// A report "of the batches up to number N, h tokens are unspent" remains a
+/// valid upper bound, since spending only lowers the count. Delayed and
+/// duplicate reports are therefore harmless.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ledger {
-    settled_loan: u64,
+    settled_batch_number: u64,
     settled_count: u32,
     settled_expires_us: u64,
-    open: Vec<OpenLoan>,
-    asked_us: u64,
+    open_batches: Vec<OpenBatch>,
+    last_request_us: u64,
 }
 
-/// A borrower that asked no longer ago counts as one that wants tokens.
+/// Time after its last request for which a borrower counts as active.
 const ACTIVE_US: u64 = 1_000_000;
 
 impl Ledger {
-    /// Drops what nobody can spend any more.
+    /// Drops expired batches.
     pub fn expire(&mut self, now_us: u64) {
-        self.open.retain(|loan| loan.expires_us > now_us);
+        self.open_batches.retain(|batch| batch.expires_us > now_us);
         if self.settled_expires_us <= now_us {
             self.settled_count = 0;
         }
@@ -38,42 +38,46 @@
 
     /// Tokens that the borrower may still spend.
     pub fn outstanding_count(&self) -> u32 {
-        let open = self.open.iter().map(|loan| loan.token_count);
-        self.settled_count + open.sum::<u32>()
+        let open_batches = self.open_batches.iter().map(|batch| batch.token_count);
+        self.settled_count + open_batches.sum::<u32>()
     }
 
-    /// Whether there is nothing to remember.
-    pub fn is_over(&self, now_us: u64) -> bool {
-        let is_settled = self.settled_count == 0 && self.open.is_empty();
-        is_settled && now_us >= self.asked_us + ACTIVE_US
+    /// Whether the ledger holds nothing and its borrower is no longer active.
+    pub fn is_finished(&self, now_us: u64) -> bool {
+        let is_settled = self.settled_count == 0 && self.open_batches.is_empty();
+        is_settled && now_us >= self.last_request_us + ACTIVE_US
     }
 
-    /// The borrower asks now.
-    pub const fn ask(&mut self, now_us: u64) {
-        self.asked_us = now_us;
+    /// Records a request of the borrower.
+    pub const fn record_request(&mut self, now_us: u64) {
+        self.last_request_us = now_us;
     }
 
-    /// Remembers a new loan.
-    pub fn lend(&mut self, loan: u64, token_count: u32, expires_us: u64) {
-        self.open.push(OpenLoan {
-            loan,
+    /// Records a new batch.
+    pub fn record_batch(&mut self, batch_number: u64, token_count: u32, expires_us: u64) {
+        self.open_batches.push(OpenBatch {
+            batch_number,
             token_count,
             expires_us,
         });
     }
 
-    /// Takes in what the borrower states; returns tokens that came back.
-    pub fn settle(&mut self, ask: &BorrowRequest) -> u32 {
-        if ask.last_loan < self.settled_loan {
+    /// Applies the borrower's report; returns the number of tokens that came
+    /// back.
+    pub fn settle(&mut self, request: &BorrowRequest) -> u32 {
+        if request.last_loan < self.settled_batch_number {
             return 0;
         }
-        for loan in self.open.extract_if(.., |loan| loan.loan <= ask.last_loan) {
-            self.settled_count += loan.token_count;
-            self.settled_expires_us = self.settled_expires_us.max(loan.expires_us);
+        for batch in self
+            .open_batches
+            .extract_if(.., |batch| batch.batch_number <= request.last_loan)
+        {
+            self.settled_count += batch.token_count;
+            self.settled_expires_us = self.settled_expires_us.max(batch.expires_us);
         }
-        self.settled_loan = ask.last_loan;
-        let freed_count = self.settled_count.saturating_sub(ask.held_count);
+        self.settled_batch_number = request.last_loan;
+        let freed_count = self.settled_count.saturating_sub(request.held_count);
         self.settled_count -= freed_count;
-        freed_count.min(ask.returned_count)
+        freed_count.min(request.returned_count)
     }
 }
--- a/src/quota/messages.rs
+++ b/src/quota/messages.rs
@@ -1,40 +1,40 @@
-//! What owners, banks and borrowers tell each other.
+//! Messages between owners, token pools and borrowers.
 
 use crate::model::WorkspaceKey;
 
-/// A process of a node; a replacement in the same slot has another start.
+/// Process of a node; a replacement in the same slot has another start time.
 #[derives::value]
 #[derive(Eq, PartialOrd, Ord, Hash)]
 pub struct Process {
-    /// Name of its slot.
+    /// Node id of its slot.
     pub node_id: String,
     /// Start of the process, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
 }
 
-/// A bank of one workspace.
+/// Token pool of one workspace.
 #[derives::value]
 #[derive(Eq, Default)]
 pub struct PoolRef {
-    /// Node on which it is.
+    /// Node that holds the pool.
     pub node_id: String,
-    /// Random number, drawn anew by a restart and when the bank hands over.
+    /// Random id, drawn anew on a restart and when the pool hands over.
     pub bank_id: u64,
 }
 
-/// A bank asks an owner for its share of a workspace.
+/// Request of a pool to an owner for its share of a workspace.
 #[derives::value]
 #[derive(Eq)]
 pub struct LeaseRequest {
     /// The workspace.
     pub workspace: WorkspaceKey,
-    /// The asking bank.
+    /// The requesting pool.
     pub bank: PoolRef,
-    /// Bank that handed its lease over to the asking one; 0 when none did.
+    /// Pool that handed its lease over to the requesting one; 0 if none did.
     pub predecessor_id: u64,
 }
 
-/// An owner's answer to a bank.
+/// Response of an owner to a pool.
 #[derives::value]
 #[derive(Eq, Default)]
 pub struct LeaseResponse {
@@ -43,19 +43,21 @@
     /// Level moved from the owner's bucket, in units of
     /// [`super::UNITS_PER_TOKEN`].
     pub level: u64,
-    /// Lifetime, counted by the bank from when it asked.
+    /// Lifetime in milliseconds, counted by the pool from when it sent the
+    /// request.
     pub ttl_ms: u32,
-    /// When to ask again, where another bank holds the lease.
+    /// Milliseconds until the lease of another pool ends; 0 when no other pool
+    /// holds it.
     pub busy_ms: u32,
-    /// That other bank.
+    /// The pool that holds the lease.
     pub holder: PoolRef,
 }
 
-/// What a bank that is one no longer hands over to its successor.
+/// What a pool hands over to its successor.
 #[derives::value]
 #[derive(Eq, Default)]
 pub struct PoolHandover {
-    /// Level of its bucket.
+    /// Level of its bucket, in units of [`super::UNITS_PER_TOKEN`].
     pub level: u64,
     /// Tokens that its borrowers may still spend.
     pub lent_count: u64,
@@ -63,54 +65,58 @@
     pub leases: Vec<HandedOverLease>,
 }
 
-/// A lease in an [`Estate`].
+/// Lease in a [`PoolHandover`].
 #[derives::value]
 #[derive(Eq)]
 pub struct HandedOverLease {
-    /// The owner.
+    /// Node id of the owner.
     pub owner: String,
-    /// Bank for which the owner holds it.
+    /// Pool to which the owner granted it.
     pub holder_id: u64,
     /// Slices whose share is leased.
     pub slice_count: u16,
-    /// Lifetime left, counted by the successor from when it asked.
+    /// Remaining lifetime in milliseconds, counted by the successor from when
+    /// it sent the request.
     pub left_ms: u32,
 }
 
-/// A node asks a bank for tokens and states what became of earlier ones.
+/// Request of a node to a pool for tokens, with a report on earlier batches.
 #[derives::value]
 #[derive(Eq)]
 pub struct BorrowRequest {
     /// The workspace.
     pub workspace: WorkspaceKey,
-    /// The asking node.
+    /// The requesting process.
     pub borrower: Process,
-    /// Bank that the next three fields speak about.
+    /// Pool that the next three fields refer to.
     pub bank_id: u64,
-    /// Last loan of this process that reached the borrower.
+    /// Latest batch of this process that reached the borrower.
     pub last_loan: u64,
-    /// Tokens of loans up to `last_loan` that are not spent yet.
+    /// Unspent tokens of batches up to `last_loan`.
     pub held_count: u32,
-    /// Tokens of these loans that go back unspent with this message.
+    /// Tokens of these batches that this message returns unspent.
     pub returned_count: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub need_count: u32,
-    /// Requests expected soon; granted only out of plenty.
+    /// Requests expected soon; tokens for them are limited when the bucket is
+    /// low.
     pub extra_count: u32,
 }
 
-/// A bank's answer to a borrower.
+/// Response of a pool to a borrower.
 #[derives::key]
 #[derive(Default)]
 pub struct BorrowResponse {
-    /// Random number of the answering bank.
+    /// Id of the responding pool.
     pub bank_id: u64,
-    /// Number of the loan; grows with each.
+    /// Number of the batch; increases with each batch.
     pub loan: u64,
     /// Tokens lent.
     pub granted_count: u32,
-    /// Lifetime, counted by the borrower from when it asked.
+    /// Lifetime in milliseconds, counted by the borrower from when it sent the
+    /// request.
     pub ttl_ms: u32,
-    /// When the bank expects the next token, if it lent less than needed.
+    /// Milliseconds to wait before the next request, if the pool lent less than
+    /// needed; else 0.
     pub empty_for_ms: u32,
 }
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,71 +1,71 @@
-//! Fleet-wide rate and burst of workspaces.
+//! Fleet-wide limits of rate and burst per workspace.
 
-mod bank;
-mod banking;
+mod borrowed_tokens;
 mod bucket;
 mod divided;
 mod divider_choice;
 mod division;
 mod gate;
-mod holding;
 mod ledger;
 pub mod limits;
 mod messages;
 mod outstanding;
 mod owner;
-mod purse;
+mod placement;
+mod pool_service;
 mod refill;
-mod route;
 mod sharing;
+mod token_holdings;
+mod token_pool;
 mod violations;
 
 pub use {
-    bank::{LeaseQuery, TokenPool},
+    borrowed_tokens::BorrowedTokens,
     bucket::{Bucket, capacity},
     divided::DividedQuota,
     divider_choice::DividerChoice,
     division::{ClassCounts, Division, LEASE_US, Reporter, TokenGrant, TokenNeed},
     gate::{LeasedQuota, QuotaInputs, Rates, spawn},
-    holding::{TokenDecision, TokenHoldings},
     messages::{
         BorrowRequest, BorrowResponse, HandedOverLease, LeaseRequest, LeaseResponse, PoolHandover,
         PoolRef, Process,
     },
-    outstanding::Outstanding,
+    outstanding::OutstandingReports,
     owner::QuotaOwner,
-    purse::BorrowedTokens,
+    placement::banks,
     refill::RefillBucket,
-    route::banks,
     sharing::{SharingInputs, spawn_sharing},
+    token_holdings::{TokenDecision, TokenHoldings},
+    token_pool::{LeaseQuery, TokenPool},
     violations::{Violation, window_violations},
 };
 
 use crate::model::{Class, Refusal, WorkspaceKey};
 
-/// Units of a bucket's level that make one token: a share of one slice accrues
-/// whole units in each microsecond, so that no sum of shares is ever rounded.
+/// Bucket level units per token. A share of one slice accrues whole units every
+/// microsecond, so sums of shares need no rounding.
 pub const UNITS_PER_TOKEN: u64 = crate::slices::SLICE_COUNT as u64 * 1_000_000;
 
 /// Rate and burst of a workspace over the whole fleet.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub struct Rate {
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: u32,
-    /// Requests at once after a pause.
+    /// Requests that may arrive at once after a pause.
     pub burst_count: u32,
 }
 
 /// Admits a workspace's requests within its rate and burst.
 pub trait QuotaGate: Send + Sync + 'static {
-    /// Whether requests can be admitted at all; a node that cannot is not
-    /// ready, so that nobody is refused by a node that has just started.
+    /// Whether this node can admit requests at all. A node that cannot reports
+    /// not ready, so that a node which has just started refuses nobody.
     fn is_ready(&self) -> bool {
         true
     }
 
-    /// Admits one request of a class or says when to come back. May ask a neighbour once,
-    /// within a small time limit.
+    /// Admits one request of a class, or refuses it with the time after which
+    /// to retry. May send one query to a peer, within a short time limit.
     fn admit(
         &self,
         workspace: WorkspaceKey,
@@ -73,7 +73,6 @@
         class: Class,
     ) -> impl Future<Output = Result<(), Refusal>> + Send;
 
-    /// A request that was admitted did not run after all: its caller keeps the
-    /// room.
+    /// Returns the token of an admitted request that did not run.
     fn refund(&self, _workspace: WorkspaceKey, _class: Class) {}
 }
--- a/src/quota/outstanding.rs
+++ b/src/quota/outstanding.rs
@@ -1,23 +1,26 @@
-//! Reports of this process that have no reply yet; no I/O, no clock.
+//! Reports of this process without a reply yet. Pure state: performs no I/O and
+//! reads no clock.
 
 use std::collections::VecDeque;
 
-/// Reports whose replies are awaited; an older one is taken for lost.
-const OUTSTANDING_COUNT: usize = 8;
+/// Number of reports that wait for a reply; the oldest beyond it counts as
+/// lost.
+const MAX_OUTSTANDING_COUNT: usize = 8;
 
-/// Tells replies to this process's reports from others.
+/// Accepts only replies to reports of this process, and each only once.
 ///
 /// A reply to an earlier process at this address names a time on that process's
-/// clock, and one that comes twice brings the same tokens again. Believed, the
-/// tokens would be used twice and the share would count as lent for too long.
+/// clock, and a duplicate reply carries the same tokens again. If either were
+/// accepted, tokens would be spent twice and the share would count as lent for
+/// too long.
 #[derive(Debug)]
-pub struct Outstanding {
+pub struct OutstandingReports {
     process_id: u64,
     sent_us: VecDeque<u64>,
 }
 
-impl Outstanding {
-    /// Nothing was sent by this process.
+impl OutstandingReports {
+    /// Starts without any sent report.
     #[must_use]
     pub const fn new(process_id: u64) -> Self {
         Self {
@@ -26,31 +29,35 @@
         }
     }
 
-    /// Number of this process.
+    /// Random id of this process.
     #[must_use]
     pub const fn process_id(&self) -> u64 {
         self.process_id
     }
 
-    /// Notes a report.
-    pub fn sent(&mut self, sent_us: u64) {
+    /// Records a sent report.
+    pub fn record_sent(&mut self, sent_us: u64) {
         self.sent_us.push_back(sent_us);
-        if self.sent_us.len() > OUTSTANDING_COUNT {
+        if self.sent_us.len() > MAX_OUTSTANDING_COUNT {
             self.sent_us.pop_front();
         }
     }
 
-    /// When the last report without a reply was sent.
+    /// When the latest report without a reply was sent.
     #[must_use]
-    pub fn last_us(&self) -> Option<u64> {
+    pub fn last_sent_us(&self) -> Option<u64> {
         self.sent_us.back().copied()
     }
 
-    /// Whether this reply belongs to a report without one; it has one now.
-    pub fn settle(&mut self, process_id: u64, sent_us: u64) -> bool {
-        let place = self.sent_us.iter().position(|at_us| *at_us == sent_us);
-        match place.filter(|_| process_id == self.process_id) {
-            Some(place) => self.sent_us.remove(place).is_some(),
+    /// Whether the reply belongs to a report without a reply; the report then
+    /// has one.
+    pub fn accept_reply(&mut self, process_id: u64, sent_us: u64) -> bool {
+        let index = self
+            .sent_us
+            .iter()
+            .position(|outstanding_us| *outstanding_us == sent_us);
+        match index.filter(|_| process_id == self.process_id) {
+            Some(index) => self.sent_us.remove(index).is_some(),
             None => false,
         }
     }
--- a/src/quota/sharing.rs
+++ b/src/quota/sharing.rs
@@ -1,12 +1,12 @@
-//! Reports of need and grants of tokens between nodes, by datagrams.
+//! Exchanges token needs and grants between nodes by datagrams.
 //!
-//! A lost datagram is made up for by the next report; a divider that does not
-//! answer is passed over for the next one.
+//! The next report makes up for a lost datagram. A divider that does not reply
+//! is replaced by the next candidate.
 
 use {
     super::{
         DividedQuota, Division, Rates, Reporter, TokenGrant, TokenNeed,
-        divider_choice::DividerChoice, outstanding::Outstanding,
+        divider_choice::DividerChoice, outstanding::OutstandingReports,
     },
     crate::{
         event,
@@ -23,24 +23,24 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Time between two reports. A share stays lent for five of them, so that a few
-/// lost datagrams cost nothing.
+/// Interval between two reports. A share stays lent for five intervals, so that
+/// a few lost datagrams do no harm.
 const PERIOD_MS: u64 = 200;
-/// Time after which a report that brought no reply is repeated while requests
-/// wait: a few ways to another zone and back.
-const REPEAT: Duration = Duration::from_millis(12);
-/// How long a member that is taken for dead still owns its share, in
-/// microseconds. It may live on behind a partition and admit by its share; a
-/// partition that lasts longer is noticed by operators.
+/// Time after which a report without a reply is repeated while requests wait: a
+/// few round trips to another zone.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(12);
+/// How long a member declared dead still owns its share. It may be alive behind
+/// a partition and admit by its share; operators notice partitions that last
+/// longer.
 const DEAD_SHARE_US: u64 = 30_000_000;
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
-/// What nodes tell each other.
+/// Message between nodes.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
-    /// What a node needs.
+    /// Tokens that a node needs.
     Report(Report),
-    /// Tokens in reply to a report.
+    /// Tokens granted in reply to a report.
     Grants {
         process_id: u64,
         sent_us: u64,
@@ -51,34 +51,34 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct Report {
     node_id: String,
-    /// Drawn anew by each process.
+    /// Random id of the process.
     process_id: u64,
-    /// Nothing was granted to the process yet.
+    /// Whether nothing was granted to the process yet.
     is_new: bool,
-    /// When it was sent, on the reporter's clock.
+    /// Time of sending, on the reporter's clock.
     sent_us: u64,
-    /// Needs by name of the workspace.
+    /// Needs by workspace name.
     needs: HashMap<String, TokenNeed>,
 }
 
-/// What sharing reads of its node.
+/// Inputs of rate sharing from its node.
 pub struct SharingInputs {
-    /// Name of this node.
+    /// Id of this node.
     pub node_id: String,
     /// Address to listen on.
     pub address: SocketAddr,
-    /// Port of other nodes for these messages.
+    /// Port on which other nodes receive these messages.
     pub port: u16,
-    /// Proves messages.
+    /// Authenticates messages.
     pub auth: FleetAuth,
     /// Clock.
     pub timer: Timer,
     /// Names of workspaces.
     pub names: Names,
-    /// Members.
+    /// Membership view.
     pub view: watch::Receiver<Arc<View>>,
-    /// Nodes of the fleet as the platform was told; gossip may not have met
-    /// all of them yet; `None` until it was asked.
+    /// Number of nodes that the platform knows, which gossip may not all have
+    /// met yet; `None` until the platform has been queried.
     pub expected_count: watch::Receiver<Option<usize>>,
     /// Rates in force.
     pub rates: watch::Receiver<Arc<Rates>>,
@@ -90,10 +90,10 @@
     quota: DividedQuota,
     division: Division,
     choice: DividerChoice,
-    outstanding: Outstanding,
-    /// Nothing was granted to this process yet.
+    outstanding: OutstandingReports,
+    /// Whether nothing was granted to this process yet.
     is_new: bool,
-    /// Since when members are seen dead.
+    /// When each dead member was first seen dead.
     dead_since_us: HashMap<String, u64>,
 }
 
@@ -110,7 +110,7 @@
         quota,
         division: Division::new(),
         choice: DividerChoice::new(),
-        outstanding: Outstanding::new(rand::random()),
+        outstanding: OutstandingReports::new(rand::random()),
         is_new: true,
         dead_since_us: HashMap::new(),
     };
@@ -131,31 +131,31 @@
         loop {
             let has_waiting = quota.has_waiting();
             tokio::select! {
-                () = tokio::time::sleep(REPEAT), if has_waiting => self.fetch().await,
+                () = tokio::time::sleep(REPEAT_INTERVAL), if has_waiting => self.request_tokens().await,
                 tick = ticks.next() => match tick {
-                    Some(tick) => self.turn(tick.now_us).await,
+                    Some(tick) => self.on_tick(tick.now_us).await,
                     None => return,
                 },
                 Ok(()) = self.inputs.expected_count.changed() => {
                     let now_us = self.inputs.timer.now_us();
-                    if self.learn_fleet(now_us) {
+                    if self.update_member_count(now_us) {
                         self.report(now_us).await;
                     }
                 }
-                () = quota.tokens_wanted() => self.fetch().await,
+                () = quota.wait_until_tokens_needed() => self.request_tokens().await,
                 received = self.socket.recv_from(&mut buffer) => {
-                    // A send to a closed port comes back as an error of a
-                    // later receive; it says nothing about this socket.
-                    if let Ok((length, from)) = received {
-                        self.receive(&buffer[..length], from).await;
+                    // A send to a closed port surfaces as an error of a later
+                    // receive and says nothing about this socket.
+                    if let Ok((length, sender)) = received {
+                        self.receive(&buffer[..length], sender).await;
                     }
                 }
             }
         }
     }
 
-    async fn turn(&mut self, now_us: u64) {
-        if !self.learn_fleet(now_us) {
+    async fn on_tick(&mut self, now_us: u64) {
+        if !self.update_member_count(now_us) {
             return;
         }
         let rates = self.rates();
@@ -164,19 +164,21 @@
         self.report(now_us).await;
     }
 
-    /// Asks for those who wait, one report at a time: a second one would ask
-    /// for the same requests again.
-    async fn fetch(&mut self) {
+    /// Reports on behalf of waiting requests, one report at a time: a second
+    /// report would request tokens for the same requests again.
+    async fn request_tokens(&mut self) {
         let now_us = self.inputs.timer.now_us();
-        let last_us = self.outstanding.last_us();
-        if last_us.is_none_or(|last_us| now_us >= last_us + REPEAT.as_micros() as u64) {
+        let last_sent_us = self.outstanding.last_sent_us();
+        if last_sent_us
+            .is_none_or(|last_sent_us| now_us >= last_sent_us + REPEAT_INTERVAL.as_micros() as u64)
+        {
             self.report(now_us).await;
         }
     }
 
-    /// Tells the divider what this node needs.
+    /// Reports this node's needs to the divider.
     async fn report(&mut self, now_us: u64) {
-        let (node_id, address) = self.divider(now_us);
+        let (node_id, address) = self.select_divider(now_us);
         let report = Report {
             node_id: self.inputs.node_id.clone(),
             process_id: self.outstanding.process_id(),
@@ -185,20 +187,21 @@
             needs: self.quota.needs(&self.inputs.names),
         };
         if node_id == self.inputs.node_id {
-            self.choice.answered(now_us);
+            self.choice.record_reply(now_us);
             let grants = self.grants(&report, now_us);
-            self.take_grants(&grants, now_us);
+            self.apply_grants(&grants, now_us);
             return;
         }
-        if self.choice.asked(now_us) {
+        if self.choice.record_report(now_us) {
             event!(Event::DividerSilent, "divider={node_id}");
         }
-        self.outstanding.sent(now_us);
+        self.outstanding.record_sent(now_us);
         self.send(&Message::Report(report), address).await;
     }
 
-    /// Tells quota how many nodes share each rate; whether that is known.
-    fn learn_fleet(&mut self, now_us: u64) -> bool {
+    /// Updates the number of nodes that share each rate. Returns whether it is
+    /// known.
+    fn update_member_count(&mut self, now_us: u64) -> bool {
         let member_count = self.count_members(now_us);
         if let Some(member_count) = member_count {
             self.quota.set_member_count(member_count);
@@ -206,9 +209,12 @@
         member_count.is_some()
     }
 
-    async fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
-        let Some(message) = self.decoded(datagram) else {
-            event!(Event::ContextForged, "quota datagram from {from} rejected");
+    async fn receive(&mut self, datagram: &[u8], sender: SocketAddr) {
+        let Some(message) = self.decode(datagram) else {
+            event!(
+                Event::ContextForged,
+                "quota datagram from {sender} rejected"
+            );
             return;
         };
         let now_us = self.inputs.timer.now_us();
@@ -221,39 +227,39 @@
                     sent_us,
                     grants,
                 };
-                self.send(&reply, from).await;
+                self.send(&reply, sender).await;
             }
             Message::Grants {
                 process_id,
                 sent_us,
                 grants,
             } => {
-                if self.outstanding.settle(process_id, sent_us) {
-                    self.choice.answered(now_us);
-                    self.take_grants(&grants, sent_us);
+                if self.outstanding.accept_reply(process_id, sent_us) {
+                    self.choice.record_reply(now_us);
+                    self.apply_grants(&grants, sent_us);
                 }
             }
         }
     }
 
-    fn take_grants(&mut self, grants: &[(String, TokenGrant)], sent_us: u64) {
+    fn apply_grants(&mut self, grants: &[(String, TokenGrant)], sent_us: u64) {
         self.is_new = false;
-        self.quota.lent(sent_us);
+        self.quota.record_share_lent(sent_us);
         for (workspace, grant) in grants {
             let workspace = self.inputs.names.workspace(workspace);
-            self.quota.granted(workspace, grant);
+            self.quota.apply_grant(workspace, grant);
         }
     }
 
     fn grants(&mut self, report: &Report, now_us: u64) -> Vec<(String, TokenGrant)> {
         let member_count = self.quota.member_count();
         let rates = self.rates();
-        let from = Reporter {
+        let reporter = Reporter {
             node_id: &report.node_id,
             process_id: report.process_id,
             is_new: report.is_new,
         };
-        self.division.report(from, &report.needs, now_us);
+        self.division.record_report(reporter, &report.needs, now_us);
         let mut grants = Vec::new();
         for (name, need) in &report.needs {
             let workspace = self.inputs.names.workspace(name);
@@ -262,7 +268,7 @@
             };
             let grant = self
                 .division
-                .grant(from, name, *rate, need, member_count, now_us);
+                .grant(reporter, name, *rate, need, member_count, now_us);
             grants.push((name.clone(), grant));
         }
         grants
@@ -272,27 +278,27 @@
         self.inputs.rates.borrow().clone()
     }
 
-    /// Nodes that share each rate: all that may be admitting, seen or not.
-    /// `None` while nothing is known of them.
+    /// Number of nodes that share each rate: all that may be admitting, whether
+    /// reachable or not. `None` while no other node is known.
     fn count_members(&mut self, now_us: u64) -> Option<usize> {
         let view = self.inputs.view.borrow().clone();
-        let dead = |member: &&Member| member.state == MemberState::Dead;
-        let present = view
+        let is_dead = |member: &&Member| member.state == MemberState::Dead;
+        let present_count = view
             .members
             .iter()
             .filter(|member| !matches!(member.state, MemberState::Left | MemberState::Dead))
             .count();
         self.dead_since_us
-            .retain(|node_id, _| view.member(node_id).as_ref().is_some_and(dead));
-        for member in view.members.iter().filter(dead) {
+            .retain(|node_id, _| view.member(node_id).as_ref().is_some_and(is_dead));
+        for member in view.members.iter().filter(is_dead) {
             let node_id = member.node_id.clone();
             self.dead_since_us.entry(node_id).or_insert(now_us);
         }
-        let lately_dead = self.dead_since_us.values();
-        let lately_dead = lately_dead.filter(|since_us| now_us < **since_us + DEAD_SHARE_US);
-        let seen_count = present + lately_dead.count();
-        // Only until gossip has met the fleet: a node that starts alone would
-        // take the whole rate for its own.
+        let recently_dead = self.dead_since_us.values();
+        let recently_dead = recently_dead.filter(|since_us| now_us < **since_us + DEAD_SHARE_US);
+        let seen_count = present_count + recently_dead.count();
+        // `expected_count` applies only until gossip has met the fleet: a node
+        // that starts alone would otherwise use the whole rate.
         let expected_count = *self.inputs.expected_count.borrow();
         match expected_count {
             Some(expected_count) if now_us < DEAD_SHARE_US => Some(seen_count.max(expected_count)),
@@ -301,8 +307,8 @@
         }
     }
 
-    /// The node to report to.
-    fn divider(&mut self, now_us: u64) -> (String, SocketAddr) {
+    /// Node id and address of the divider to report to.
+    fn select_divider(&mut self, now_us: u64) -> (String, SocketAddr) {
         let view = self.inputs.view.borrow();
         let mut candidates: Vec<&Member> = view
             .members
@@ -310,10 +316,10 @@
             .filter(|member| member.is_usable())
             .collect();
         candidates.sort_by_cached_key(|member| xxh3_64(member.node_id.as_bytes()));
-        let place = self.choice.place(candidates.len(), now_us);
-        // The last node of a fleet divides for itself also while it leaves;
-        // its callers would be refused until the end of its stop.
-        let Some(member) = candidates.get(place) else {
+        let index = self.choice.select_index(candidates.len(), now_us);
+        // The last node of a fleet divides for itself even while it leaves;
+        // otherwise its callers would be refused until it has stopped.
+        let Some(member) = candidates.get(index) else {
             return (self.inputs.node_id.clone(), self.inputs.address);
         };
         let address = SocketAddr::new(member.ip, self.inputs.port);
@@ -330,11 +336,11 @@
         };
         let tag = self.inputs.auth.tag(&datagram);
         datagram.extend_from_slice(&tag);
-        // A lost datagram is what the periods are made for.
+        // The next report makes up for a lost datagram.
         let _ = self.socket.send_to(&datagram, to).await;
     }
 
-    fn decoded(&self, datagram: &[u8]) -> Option<Message> {
+    fn decode(&self, datagram: &[u8]) -> Option<Message> {
         let length = datagram.len().checked_sub(TAG_BYTES)?;
         let (content, tag) = datagram.split_at(length);
         if !self.inputs.auth.is_tagged(content, tag) {
--- a/src/quota/holding.rs
+++ b/src/quota/token_holdings.rs
@@ -1,4 +1,5 @@
-//! A node's tokens of one workspace and the requests that wait for some.
+//! Tokens that a node holds for one workspace, and the requests waiting for
+//! tokens.
 
 use {
     super::{ClassCounts, TokenGrant, TokenNeed},
@@ -9,14 +10,13 @@
 
 /// Weight of the last period in the mean demand.
 const DEMAND_WEIGHT: f64 = 0.3;
-/// Time for which tokens are fetched ahead, in seconds: a little more than the
-/// period of reports.
+/// Period of demand for which tokens are fetched ahead: a little more than the
+/// report interval.
 const AHEAD_S: f64 = 0.25;
-/// Time of its demand for which a node keeps tokens, in seconds; what it holds
-/// beyond goes back.
-const KEPT_S: f64 = 1.0;
+/// Period of demand for which a node keeps tokens; it returns any surplus.
+const KEEP_S: f64 = 1.0;
 
-/// Whether a request got a token, or in how many milliseconds one is expected.
+/// `Ok` if a request got a token, else the milliseconds until one is expected.
 pub type TokenDecision = Result<(), u32>;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -25,7 +25,8 @@
     mean_per_s: f64,
 }
 
-/// Tokens by class, demand and waiters; no I/O, no clock.
+/// Tokens by class, demand and waiting requests. Pure state: performs no I/O
+/// and reads no clock.
 #[derive(Debug, Default)]
 pub struct TokenHoldings {
     counts: ClassCounts,
@@ -36,27 +37,27 @@
 }
 
 impl TokenHoldings {
-    /// Counts a request, admitted or not.
-    pub const fn count_demand(&mut self, class: Class) {
+    /// Counts a request as demand, whether or not it is admitted.
+    pub const fn record_demand(&mut self, class: Class) {
         self.demands[class.index()].count += 1;
     }
 
-    /// Takes a token of the class, or one that was meant for a lesser one.
+    /// Takes a token of the class or, failing that, of a less important class.
     pub fn take(&mut self, class: Class) -> bool {
-        let mut places = (0..=class.index()).rev();
-        let Some(place) = places.find(|place| self.counts[*place] > 0) else {
+        let mut indexes = (0..=class.index()).rev();
+        let Some(index) = indexes.find(|index| self.counts[*index] > 0) else {
             return false;
         };
-        self.counts[place] -= 1;
+        self.counts[index] -= 1;
         true
     }
 
-    /// A token that was not used after all.
-    pub const fn put_back(&mut self, class: Class) {
+    /// Returns a token that was not used.
+    pub const fn return_token(&mut self, class: Class) {
         self.counts[class.index()] += 1;
     }
 
-    /// Milliseconds for which the class need not ask.
+    /// Milliseconds for which no token of the class is expected, if any.
     #[must_use]
     pub fn empty_for_ms(&self, class: Class, now_us: u64) -> Option<u32> {
         let left_us = self.empty_until_us[class.index()].checked_sub(now_us)?;
@@ -65,8 +66,8 @@
             .filter(|ms| *ms > 0)
     }
 
-    /// Lets a request wait for the next grant.
-    pub fn wait(&mut self, class: Class) -> oneshot::Receiver<TokenDecision> {
+    /// Adds a request that waits for the next grant.
+    pub fn add_waiter(&mut self, class: Class) -> oneshot::Receiver<TokenDecision> {
         let (sender, receiver) = oneshot::channel();
         self.waiting[class.index()].push_back(sender);
         receiver
@@ -78,29 +79,31 @@
         self.waiting.iter().any(|waiting| !waiting.is_empty())
     }
 
-    /// Ends a period of demand; what the node holds beyond its need goes back.
+    /// Ends a demand period of `period_ms` milliseconds and sets surplus tokens
+    /// aside for return.
     pub fn end_period(&mut self, period_ms: u64) {
-        for place in 0..CLASS_COUNT {
-            let demand = &mut self.demands[place];
+        for index in 0..CLASS_COUNT {
+            let demand = &mut self.demands[index];
             let last_per_s = f64::from(demand.count) * 1000.0 / period_ms.max(1) as f64;
             demand.count = 0;
             demand.mean_per_s += (last_per_s - demand.mean_per_s) * DEMAND_WEIGHT;
-            let kept = (demand.mean_per_s * KEPT_S).ceil() as u32;
-            let surplus = self.counts[place].saturating_sub(kept);
-            self.counts[place] -= surplus;
-            self.returned_count += surplus;
+            let kept_count = (demand.mean_per_s * KEEP_S).ceil() as u32;
+            let surplus_count = self.counts[index].saturating_sub(kept_count);
+            self.counts[index] -= surplus_count;
+            self.returned_count += surplus_count;
         }
     }
 
-    /// What to ask for; given back tokens are out of this node's hands then.
-    pub fn need(&mut self) -> TokenNeed {
+    /// Tokens to request. The returned tokens in it no longer belong to this
+    /// node.
+    pub fn take_need(&mut self) -> TokenNeed {
         for waiting in &mut self.waiting {
             waiting.retain(|sender| !sender.is_closed());
         }
-        let waiting_counts = std::array::from_fn(|place| self.waiting[place].len() as u32);
-        let ahead_counts = std::array::from_fn(|place| {
-            let wanted = (self.demands[place].mean_per_s * AHEAD_S).round() as u32;
-            wanted.saturating_sub(self.counts[place])
+        let waiting_counts = std::array::from_fn(|index| self.waiting[index].len() as u32);
+        let ahead_counts = std::array::from_fn(|index| {
+            let wanted_count = (self.demands[index].mean_per_s * AHEAD_S).round() as u32;
+            wanted_count.saturating_sub(self.counts[index])
         });
         TokenNeed {
             waiting_counts,
@@ -109,12 +112,13 @@
         }
     }
 
-    /// Takes in a grant and serves those who wait, the most important first.
-    pub fn granted(&mut self, grant: &TokenGrant, now_us: u64) {
-        for place in 0..CLASS_COUNT {
-            self.counts[place] += grant.counts[place];
-            let empty_us = u64::from(grant.empty_for_ms[place]) * 1000;
-            self.empty_until_us[place] = now_us + empty_us;
+    /// Adds the granted tokens and serves waiting requests, the most important
+    /// class first.
+    pub fn apply_grant(&mut self, grant: &TokenGrant, now_us: u64) {
+        for index in 0..CLASS_COUNT {
+            self.counts[index] += grant.counts[index];
+            let empty_for_us = u64::from(grant.empty_for_ms[index]) * 1000;
+            self.empty_until_us[index] = now_us + empty_for_us;
         }
         for class in Class::ALL.into_iter().rev() {
             let empty_for_ms = grant.empty_for_ms[class.index()];
@@ -125,7 +129,7 @@
                 if self.take(class) {
                     // A waiter that has just left does not use its token.
                     if waiter.send(Ok(())).is_err() {
-                        self.put_back(class);
+                        self.return_token(class);
                     }
                 } else if empty_for_ms > 0 {
                     let _ = waiter.send(Err(empty_for_ms));
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Gives up all tokens: what they were taken from counts them no more.
+    /// Drops all tokens, since the bucket they came from no longer counts them.
     pub fn clear(&mut self) {
         self.counts = [0; CLASS_COUNT];
         self.returned_count = 0;
--- a/tests/quota_fleet.rs
+++ b/tests/quota_fleet.rs
@@ -1,5 +1,5 @@
-//! Quota, slices and guard of several nodes with their real calls, around a
-//! small stand-in of the platform's conditional write.
+//! Quota, slices and guard of several nodes with real RPC, on an in-memory
+//! stand-in of the platform's conditional write.
 
 use {
     clap::Parser,
@@ -31,20 +31,20 @@
     burst_count: 300,
 };
 
-/// One object with conditional writes, seen by all nodes at once.
+/// One object with conditional writes, visible to all nodes at once.
 #[derive(Clone)]
 struct Store {
     held: Arc<watch::Sender<Option<Document>>>,
     writing: Arc<Mutex<()>>,
-    lost_answers: Arc<AtomicU32>,
+    lost_responses: Arc<AtomicU32>,
 }
 
 impl Store {
-    fn new(lost_answer_count: u32) -> Self {
+    fn new(lost_response_count: u32) -> Self {
         Self {
             held: Arc::new(watch::channel(None).0),
             writing: Arc::default(),
-            lost_answers: Arc::new(AtomicU32::new(lost_answer_count)),
+            lost_responses: Arc::new(AtomicU32::new(lost_response_count)),
         }
     }
 }
@@ -62,10 +62,10 @@
             content: content.into(),
         };
         self.held.send_replace(Some(document));
-        let lose = |left: u32| (version > 0).then(|| left.checked_sub(1)).flatten();
+        let decrement = |left: u32| (version > 0).then(|| left.checked_sub(1)).flatten();
         match self
-            .lost_answers
-            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, lose)
+            .lost_responses
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement)
         {
             Ok(_) => WriteResult::Unknown,
             Err(_) => WriteResult::Written(version + 1),
@@ -138,12 +138,12 @@
     let workspace = names.workspace("shop");
     let timer = Timer::new(shutdown.clone());
     let (view_sender, view) = watch::channel(Arc::new(view.clone()));
-    let always = Snapshot {
+    let always_fresh = Snapshot {
         freshness: Freshness::Fresh,
         valid_until_ms: u64::MAX,
         quota_until_ms: u64::MAX,
     };
-    let (freshness_sender, freshness) = watch::channel(always);
+    let (freshness_sender, freshness) = watch::channel(always_fresh);
     let rates = Arc::new(Rates::from([(workspace, RATE)]));
     let (rates_sender, rates) = watch::channel(rates);
     let (draining_sender, draining) = watch::channel(false);
@@ -197,10 +197,10 @@
 }
 
 impl Fleet {
-    fn start(net: u8, node_count: u8, lost_answer_count: u32) -> Self {
+    fn start(net: u8, node_count: u8, lost_response_count: u32) -> Self {
         let members: Vec<Member> = (0..node_count).map(|index| member(net, index)).collect();
         let view = View { members };
-        let store = Store::new(lost_answer_count);
+        let store = Store::new(lost_response_count);
         let shutdown = CancellationToken::new();
         let nodes = view.members.iter();
         let nodes = nodes.map(|member| start_node(member, &view, &store, shutdown.child_token()));
@@ -211,7 +211,7 @@
         }
     }
 
-    fn show_state(&mut self, index: usize, state: MemberState) {
+    fn set_member_state(&mut self, index: usize, state: MemberState) {
         self.view.members[index].state = state;
         let view = Arc::new(self.view.clone());
         for node in &self.nodes {
@@ -219,7 +219,7 @@
         }
     }
 
-    async fn until_table(&mut self, is_met: impl Fn(&SliceTable) -> bool) {
+    async fn wait_for_table(&mut self, is_met: impl Fn(&SliceTable) -> bool) {
         for node in &mut self.nodes {
             let held = node
                 .table
@@ -231,7 +231,7 @@
 
     fn home_of(&self, request: &KeyedRequest) -> &TestNode {
         let held = self.nodes[0].table.borrow().clone();
-        let table = &held.as_ref().expect("it settled").table;
+        let table = &held.as_ref().expect("the table is settled").table;
         let home = &table.owner(Section::Keys, request.key.slice()).node_id;
         let members = &self.view.members;
         let index = members.iter().position(|member| member.node_id == *home);
@@ -245,20 +245,22 @@
     admitted.into_iter().filter(Result::is_ok).count()
 }
 
-async fn until(mut is_met: impl FnMut() -> bool) {
-    let met = async {
+async fn wait_until(mut is_met: impl FnMut() -> bool) {
+    let finished = async {
         while !is_met() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let met = tokio::time::timeout(Duration::from_secs(30), met).await;
-    met.expect("it comes about in time");
+    let finished = tokio::time::timeout(Duration::from_secs(30), finished).await;
+    finished.expect("the condition is met in time");
 }
 
+/// The burst of a workspace arrives at one node. Tokens left at the other nodes
+/// would refuse a part of it, and tokens counted twice would exceed it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_burst_at_one_of_six_nodes_is_admitted_whole() {
+async fn a_full_burst_at_one_of_six_nodes_is_admitted() {
     let mut fleet = Fleet::start(1, 6, 0);
-    fleet.until_table(|table| table.slots().len() == 6).await;
+    fleet.wait_for_table(|table| table.slots().len() == 6).await;
     // Quarantine of the slices, then burst / rate to fill up.
     tokio::time::sleep(Duration::from_millis(2200 + 1600)).await;
     let node = &fleet.nodes[1];
@@ -266,8 +268,11 @@
     let counts = CallKind::ALL.map(|kind| (kind.name(), node.client.counters().of(kind)));
     println!("calls of the node with the burst: {counts:?}");
     assert!(node.client.counters().of(CallKind::Borrow).call_count > 0);
-    let over = admit_at_once(node, 300).await;
-    assert!(over < 200, "{over} more at once");
+    let excess_count = admit_at_once(node, 300).await;
+    assert!(
+        excess_count < 200,
+        "{excess_count} admitted beyond the burst"
+    );
     let refusal = loop {
         if let Err(refusal) = node
             .quota
@@ -283,27 +288,27 @@
     );
 }
 
-/// The bank of a workspace dies. Its requests are refused until the shares
-/// that the bank had leased can be leased again.
+/// The node that holds a workspace's token pool dies. Its requests are refused
+/// until the shares leased by that pool can be leased again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn another_bank_serves_after_the_first_died() {
+async fn another_pool_serves_after_a_pool_node_dies() {
     let mut fleet = Fleet::start(3, 6, 0);
-    fleet.until_table(|table| table.slots().len() == 6).await;
+    fleet.wait_for_table(|table| table.slots().len() == 6).await;
     tokio::time::sleep(Duration::from_millis(2200 + 500)).await;
-    let dead = quota::banks(&fleet.view, "shop", "z0")[0].node_id.clone();
-    let dead = fleet
+    let dead_node = quota::banks(&fleet.view, "shop", "z0")[0].node_id.clone();
+    let dead_node = fleet
         .view
         .members
         .iter()
-        .position(|member| member.node_id == dead);
-    let dead = dead.expect("a member");
-    let survivor = (dead + 1) % 6;
+        .position(|member| member.node_id == dead_node);
+    let dead_node = dead_node.expect("a member");
+    let survivor = (dead_node + 1) % 6;
     assert_eq!(admit_at_once(&fleet.nodes[survivor], 20).await, 20);
-    fleet.nodes[dead].shutdown.cancel();
+    fleet.nodes[dead_node].shutdown.cancel();
     let died = std::time::Instant::now();
-    fleet.show_state(dead, MemberState::Dead);
+    fleet.set_member_state(dead_node, MemberState::Dead);
     let node = &fleet.nodes[survivor];
-    // Spends what the node has borrowed ahead.
+    // Spends the tokens that the node has borrowed ahead.
     while node
         .quota
         .admit(node.workspace, RATE, Class::Standard)
@@ -319,65 +324,71 @@
     {
         refused_count += 1;
         tokio::time::sleep(Duration::from_millis(5)).await;
-        assert!(refused_count < 6000, "no other bank serves");
+        assert!(refused_count < 6000, "no other pool serves");
     }
     println!(
-        "first admission {} ms after the bank died",
+        "first admission {} ms after the pool node died",
         died.elapsed().as_millis()
     );
 }
 
-/// The bank of a workspace is drained while it is in use. Its requests, which
-/// are inside their rate, must not be refused for a planned stop.
+/// The node that holds a workspace's token pool is drained while the pool is in
+/// use. Requests within their rate must not be refused because of a planned
+/// stop.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_draining_bank_hands_over_without_a_refusal() {
+async fn a_draining_pool_node_hands_over_without_a_refusal() {
     let mut fleet = Fleet::start(4, 6, 0);
-    fleet.until_table(|table| table.slots().len() == 6).await;
+    fleet.wait_for_table(|table| table.slots().len() == 6).await;
     tokio::time::sleep(Duration::from_millis(2200 + 1600)).await;
-    let first = quota::banks(&fleet.view, "shop", "z0")[0].node_id.clone();
-    let first = fleet
+    let first_node = quota::banks(&fleet.view, "shop", "z0")[0].node_id.clone();
+    let first_node = fleet
         .view
         .members
         .iter()
-        .position(|member| member.node_id == first);
-    let first = first.expect("a member");
-    assert_eq!(admit_at_once(&fleet.nodes[(first + 1) % 6], 100).await, 100);
-    fleet.show_state(first, MemberState::Draining);
-    let second = quota::banks(&fleet.view, "shop", "z0")[0].node_id.clone();
-    assert_ne!(second, fleet.view.members[first].node_id);
+        .position(|member| member.node_id == first_node);
+    let first_node = first_node.expect("a member");
+    assert_eq!(
+        admit_at_once(&fleet.nodes[(first_node + 1) % 6], 100).await,
+        100
+    );
+    fleet.set_member_state(first_node, MemberState::Draining);
+    let second_node = quota::banks(&fleet.view, "shop", "z0")[0].node_id.clone();
+    assert_ne!(second_node, fleet.view.members[first_node].node_id);
     for node in &fleet.nodes {
         assert_eq!(admit_at_once(node, 10).await, 10);
     }
 }
 
-/// A node leaves while writes of the slice table lose their answers. The keys
-/// that it knows must be known to their next homes, or a resend of an order
-/// would be refused as unsure, or worse run again.
+/// A node leaves while writes of the slice table lose their responses. The keys
+/// that it knows must be known to their next homes; otherwise a resent order
+/// would be refused as unsure or, worse, executed again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn keys_follow_their_slices_though_answers_of_writes_are_lost() {
+async fn keys_follow_their_slices_when_write_responses_are_lost() {
     let mut fleet = Fleet::start(2, 3, 3);
-    fleet.until_table(|table| table.slots().len() == 3).await;
+    fleet.wait_for_table(|table| table.slots().len() == 3).await;
     let requests =
         (0..40).map(|n| KeyedRequest::new(WorkspaceKey::new(0), "shop", &format!("order {n}"), 1));
     let requests: Vec<KeyedRequest> = requests.collect();
-    let answer = StoredAnswer {
+    let response = StoredAnswer {
         status: 201,
         headers: vec![],
         body: "done".into(),
     };
     for request in &requests {
         let guard = &fleet.home_of(request).guard;
-        // The past of slices that came here may still be on its way.
-        until(|| guard.begin(request) == Begin::Execute).await;
-        guard.finish(request.key, Finish::Answered(answer.clone()));
+        // The history of slices that moved here may still be on its way.
+        wait_until(|| guard.begin(request) == Begin::Execute).await;
+        guard.finish(request.key, Finish::Answered(response.clone()));
     }
-    fleet.show_state(1, MemberState::Draining);
+    fleet.set_member_state(1, MemberState::Draining);
     fleet.nodes[1].draining.send_replace(true);
-    fleet.until_table(|table| table.find("n1").is_none()).await;
+    fleet
+        .wait_for_table(|table| table.find("n1").is_none())
+        .await;
     for request in &requests {
         let guard = &fleet.home_of(request).guard;
-        let replay = Begin::Replay(answer.clone());
-        until(|| {
+        let replay = Begin::Replay(response.clone());
+        wait_until(|| {
             let begin = guard.begin(request);
             assert_ne!(begin, Begin::Execute);
             begin == replay
--- a/tests/quota_property.rs
+++ b/tests/quota_property.rs
@@ -1,9 +1,10 @@
-//! Fleet-wide rate and burst hold in every window, whatever happens to
-//! messages, processes and views; and what the fleet offers can be used.
+//! Property test: fleet-wide rate and burst hold in every window under faults,
+//! and the available rate can be used.
 //!
-//! Nodes are state machines around the pure parts. Messages are lost, doubled,
-//! delayed and reordered; processes are stopped, so that their clocks jump, and
-//! restarted; views split, so that there are two banks; slices move.
+//! Nodes are state machines around the pure quota types. Messages are lost,
+//! duplicated, delayed and reordered; processes are paused, so that their
+//! clocks jump, and restarted; views split, so that there are two pools; slices
+//! move.
 
 use {
     dogwoodbridge::{
@@ -11,7 +12,7 @@
         quota::{
             BorrowRequest, BorrowResponse, BorrowedTokens, LeaseRequest, LeaseResponse,
             PoolHandover, PoolRef, Process, QuotaOwner, Rate, TokenPool,
-            limits::{LEASE_TTL_MS, QUOTA_MARGIN_MS},
+            limits::{CLOCK_MARGIN_MS, LEASE_TTL_MS},
             window_violations,
         },
         slices::{SLICE_COUNT, SliceIndex},
@@ -22,23 +23,23 @@
 
 const WORKSPACE: WorkspaceKey = WorkspaceKey::new(0);
 const STEP_US: u64 = 1000;
-const ASK_LIMIT_US: u64 = 20_000;
+const BORROW_TIMEOUT_US: u64 = 20_000;
 const OWNER_COUNT: usize = 4;
 /// Shares are full after the quarantine and burst / rate.
-const WARM_UP_MS: u64 = (LEASE_TTL_MS + QUOTA_MARGIN_MS) as u64 + 4000;
+const WARM_UP_MS: u64 = (LEASE_TTL_MS + CLOCK_MARGIN_MS) as u64 + 4000;
 
 #[derive(Clone)]
 enum Message {
-    LeaseAsk { ask: LeaseRequest, call: u64 },
-    LeaseAnswer { call: u64, answer: LeaseResponse },
+    LeaseRequest { request: LeaseRequest, call: u64 },
+    LeaseResponse { call: u64, response: LeaseResponse },
     TakeOver { call: u64 },
-    Estate { call: u64, estate: PoolHandover },
-    BorrowAsk { ask: BorrowRequest, call: u64 },
-    BorrowAnswer { call: u64, answer: BorrowResponse },
+    Handover { call: u64, handover: PoolHandover },
+    BorrowRequest { request: BorrowRequest, call: u64 },
+    BorrowResponse { call: u64, response: BorrowResponse },
 }
 
 #[derive(Clone)]
-struct Envelope {
+struct QueuedMessage {
     from: usize,
     to: usize,
     due_us: u64,
@@ -48,67 +49,67 @@
 struct Call {
     number: u64,
     sent_us: u64,
-    given_up: bool,
+    is_abandoned: bool,
 }
 
 struct Node {
     clock_offset_us: u64,
     paused_until_us: u64,
     owner: QuotaOwner,
-    bank: TokenPool,
-    purse: BorrowedTokens,
+    pool: TokenPool,
+    tokens: BorrowedTokens,
     calls: Vec<Call>,
-    /// When the bank's calls to owners and earlier banks were sent.
-    bank_calls: HashMap<u64, u64>,
+    /// Send times of the pool's calls to owners and previous pools.
+    pool_calls: HashMap<u64, u64>,
     wait_count: u32,
     group: usize,
 }
 
-/// How unkind the world is.
+/// Rates of the injected faults.
 #[derive(Clone, Copy)]
 struct Faults {
     loss_percent: u32,
-    double_percent: u32,
+    duplicate_percent: u32,
     max_delay_us: u64,
     slow_percent: u32,
     pause_permille: u32,
     restart_permille: u32,
     split_permille: u32,
-    move_permille: u32,
-    bank_permille: u32,
+    slice_move_permille: u32,
+    pool_move_permille: u32,
 }
 
-const KIND: Faults = Faults {
+const NO_FAULTS: Faults = Faults {
     loss_percent: 0,
-    double_percent: 0,
+    duplicate_percent: 0,
     max_delay_us: 1000,
     slow_percent: 0,
     pause_permille: 0,
     restart_permille: 0,
     split_permille: 0,
-    move_permille: 0,
-    bank_permille: 0,
+    slice_move_permille: 0,
+    pool_move_permille: 0,
 };
 
-struct World {
+struct Simulation {
     random: StdRng,
     faults: Faults,
     rate: Rate,
     now_us: u64,
     nodes: Vec<Node>,
     owners: Vec<(usize, u64)>,
-    bag: Vec<Envelope>,
+    queue: Vec<QueuedMessage>,
     admissions: Vec<u64>,
     refused_count: u64,
     message_count: u64,
     next_number: u64,
     epoch: u64,
-    bank_shift: usize,
+    pool_shift: usize,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, node_count: usize, rate: Rate, faults: Faults) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             random: StdRng::seed_from_u64(seed),
             faults,
             rate,
@@ -117,20 +118,20 @@
             owners: (0..SLICE_COUNT)
                 .map(|slice| (slice % OWNER_COUNT, 1))
                 .collect(),
-            bag: vec![],
+            queue: vec![],
             admissions: vec![],
             refused_count: 0,
             message_count: 0,
             next_number: 1,
             epoch: 1,
-            bank_shift: node_count - 1,
+            pool_shift: node_count - 1,
         };
         for index in 0..node_count {
-            let node = world.new_process(index);
-            world.nodes.push(node);
-            world.observe_table(index);
+            let node = simulation.new_process(index);
+            simulation.nodes.push(node);
+            simulation.observe_table(index);
         }
-        world
+        simulation
     }
 
     fn number(&mut self) -> u64 {
@@ -150,10 +151,10 @@
             clock_offset_us,
             paused_until_us: 0,
             owner: QuotaOwner::new(),
-            bank: TokenPool::new(self.random.random(), now_us),
-            purse: BorrowedTokens::new(WORKSPACE, name),
+            pool: TokenPool::new(self.random.random(), now_us),
+            tokens: BorrowedTokens::new(WORKSPACE, name),
             calls: vec![],
-            bank_calls: HashMap::new(),
+            pool_calls: HashMap::new(),
             wait_count: 0,
             group: 0,
         }
@@ -174,18 +175,19 @@
         self.nodes[node].owner.set_slices(owned, |_| rate, now_us);
     }
 
-    /// All in a group agree on the bank; it changes with the members.
-    fn bank_of(&self, node: usize) -> usize {
+    /// All nodes of a group agree on the pool's node; it changes with the
+    /// members.
+    fn pool_node_of(&self, node: usize) -> usize {
         let group = self.nodes[node].group;
         let count = self.nodes.len();
-        let candidates = (0..count).map(|place| (place + self.bank_shift) % count);
-        let mut mates = candidates.filter(|other| self.nodes[*other].group == group);
-        mates.next().expect("the node itself is in it")
+        let candidates = (0..count).map(|index| (index + self.pool_shift) % count);
+        let mut group_members = candidates.filter(|other| self.nodes[*other].group == group);
+        group_members.next().expect("a node is in its own group")
     }
 
     fn send(&mut self, from: usize, to: usize, message: &Message) {
         self.message_count += 1;
-        let copies = if self.chance_percent(self.faults.double_percent) {
+        let copies = if self.chance_percent(self.faults.duplicate_percent) {
             2
         } else {
             1
@@ -206,7 +208,7 @@
             } else {
                 self.random.random_range(0..=max_us)
             };
-            self.bag.push(Envelope {
+            self.queue.push(QueuedMessage {
                 from,
                 to,
                 due_us: self.now_us + delay_us,
@@ -228,116 +230,118 @@
     }
 
     fn deliver(&mut self) {
-        let bag = std::mem::take(&mut self.bag);
-        for envelope in bag {
-            let crosses = self.nodes[envelope.from].group != self.nodes[envelope.to].group;
-            if envelope.due_us > self.now_us || self.is_paused(envelope.to) {
-                self.bag.push(envelope);
-            } else if !crosses {
-                self.handle(envelope);
+        let queue = std::mem::take(&mut self.queue);
+        for queued in queue {
+            let crosses_partition = self.nodes[queued.from].group != self.nodes[queued.to].group;
+            if queued.due_us > self.now_us || self.is_paused(queued.to) {
+                self.queue.push(queued);
+            } else if !crosses_partition {
+                self.handle(queued);
             }
         }
     }
 
-    fn handle(&mut self, envelope: Envelope) {
-        let Envelope { from, to, .. } = envelope;
+    fn handle(&mut self, queued: QueuedMessage) {
+        let QueuedMessage { from, to, .. } = queued;
         let (rate, now_us) = (self.rate, self.clock_us(to));
         let node = &mut self.nodes[to];
-        match envelope.message {
-            Message::LeaseAsk { ask, call } => {
-                let answer = node.owner.lease(&ask, rate, now_us);
-                self.send(to, from, &Message::LeaseAnswer { call, answer });
+        match queued.message {
+            Message::LeaseRequest { request, call } => {
+                let response = node.owner.lease(&request, rate, now_us);
+                self.send(to, from, &Message::LeaseResponse { call, response });
             }
-            Message::LeaseAnswer { call, answer } => {
-                if let Some(sent_us) = node.bank_calls.remove(&call) {
+            Message::LeaseResponse { call, response } => {
+                if let Some(sent_us) = node.pool_calls.remove(&call) {
                     let owner = from.to_string();
-                    let holder = node.bank.leased(&owner, sent_us, answer, rate, now_us);
-                    self.ask_holder(to, holder);
+                    let holder = node
+                        .pool
+                        .apply_lease(&owner, sent_us, response, rate, now_us);
+                    self.request_handover(to, holder);
                 }
             }
             Message::TakeOver { call } => {
-                if self.bank_of(to) != to {
+                if self.pool_node_of(to) != to {
                     let next_id = self.random.random();
-                    let estate = self.nodes[to].bank.retire(next_id, rate, now_us);
-                    self.send(to, from, &Message::Estate { call, estate });
+                    let handover = self.nodes[to].pool.hand_over(next_id, rate, now_us);
+                    self.send(to, from, &Message::Handover { call, handover });
                 }
             }
-            Message::Estate { call, estate } => {
-                if let Some(sent_us) = node.bank_calls.remove(&call) {
-                    node.bank.inherit(sent_us, estate, rate, now_us);
-                    self.renew(to);
+            Message::Handover { call, handover } => {
+                if let Some(sent_us) = node.pool_calls.remove(&call) {
+                    node.pool.accept_handover(sent_us, handover, rate, now_us);
+                    self.query_owners(to);
                 }
             }
-            Message::BorrowAsk { ask, call } => {
-                node.bank.wake(now_us);
-                self.renew(to);
-                if self.nodes[to].bank.awaits_owners(now_us) {
+            Message::BorrowRequest { request, call } => {
+                node.pool.mark_active(now_us);
+                self.query_owners(to);
+                if self.nodes[to].pool.is_waiting_for_owners(now_us) {
                     let due_us = self.now_us + STEP_US;
-                    let message = Message::BorrowAsk { ask, call };
-                    self.bag.push(Envelope {
+                    let message = Message::BorrowRequest { request, call };
+                    self.queue.push(QueuedMessage {
                         due_us,
                         message,
-                        ..envelope
+                        ..queued
                     });
                     return;
                 }
                 let node = &mut self.nodes[to];
-                let answer = node.bank.borrow(&ask, rate, now_us);
-                self.send(to, from, &Message::BorrowAnswer { call, answer });
+                let response = node.pool.borrow(&request, rate, now_us);
+                self.send(to, from, &Message::BorrowResponse { call, response });
             }
-            Message::BorrowAnswer { call, answer } => {
-                let place = node.calls.iter().position(|held| held.number == call);
-                let Some(place) = place else {
+            Message::BorrowResponse { call, response } => {
+                let index = node.calls.iter().position(|pending| pending.number == call);
+                let Some(index) = index else {
                     return;
                 };
-                let call = node.calls.swap_remove(place);
-                node.purse.lent(call.sent_us, answer, now_us);
+                let call = node.calls.swap_remove(index);
+                node.tokens.apply_response(call.sent_us, response, now_us);
                 self.serve_waiting(to);
             }
         }
     }
 
-    fn ask_holder(&mut self, node: usize, holder: Option<PoolRef>) {
+    fn request_handover(&mut self, node: usize, holder: Option<PoolRef>) {
         let Some(holder) = holder else {
             return;
         };
         let holder = holder.node_id.parse().expect("a number");
         if holder != node {
-            let call = self.bank_call(node);
+            let call = self.record_pool_call(node);
             self.send(node, holder, &Message::TakeOver { call });
         }
     }
 
-    fn bank_call(&mut self, node: usize) -> u64 {
+    fn record_pool_call(&mut self, node: usize) -> u64 {
         let (call, now_us) = (self.number(), self.clock_us(node));
-        self.nodes[node].bank_calls.insert(call, now_us);
+        self.nodes[node].pool_calls.insert(call, now_us);
         call
     }
 
     fn serve_waiting(&mut self, node: usize) {
         let now_us = self.clock_us(node);
         let state = &mut self.nodes[node];
-        while state.wait_count > 0 && state.purse.take(now_us) {
+        while state.wait_count > 0 && state.tokens.take(now_us) {
             state.wait_count -= 1;
             self.admissions.push(self.now_us);
         }
-        let is_empty = now_us < state.purse.empty_until_us();
+        let is_empty = now_us < state.tokens.empty_until_us();
         if is_empty {
             self.refused_count += u64::from(state.wait_count);
             state.wait_count = 0;
         }
     }
 
-    fn request(&mut self, node: usize) {
+    fn admit_or_wait(&mut self, node: usize) {
         if self.is_paused(node) {
             return;
         }
         let now_us = self.clock_us(node);
         let state = &mut self.nodes[node];
-        state.purse.demand(now_us);
-        if state.purse.take(now_us) {
+        state.tokens.record_demand(now_us);
+        if state.tokens.take(now_us) {
             self.admissions.push(self.now_us);
-        } else if now_us < state.purse.empty_until_us() {
+        } else if now_us < state.tokens.empty_until_us() {
             self.refused_count += 1;
         } else {
             state.wait_count += 1;
@@ -346,60 +350,67 @@
 
     fn tick(&mut self, node: usize) {
         let now_us = self.clock_us(node);
-        let has_returns = self.nodes[node].purse.collect_returns(now_us);
+        let has_returns = self.nodes[node].tokens.collect_returns(now_us);
         let state = &mut self.nodes[node];
         let mut timed_out = false;
         for call in &mut state.calls {
-            let is_late = !call.given_up && now_us >= call.sent_us + ASK_LIMIT_US;
-            call.given_up |= is_late;
+            let is_late = !call.is_abandoned && now_us >= call.sent_us + BORROW_TIMEOUT_US;
+            call.is_abandoned |= is_late;
             timed_out |= is_late;
         }
         if timed_out {
             self.refused_count += u64::from(state.wait_count);
             state.wait_count = 0;
         }
-        let is_asking = state.calls.iter().any(|call| !call.given_up);
-        if !is_asking && (state.wait_count > 0 || has_returns) {
-            let ask = state.purse.ask(state.wait_count, now_us);
+        let is_borrowing = state.calls.iter().any(|call| !call.is_abandoned);
+        if !is_borrowing && (state.wait_count > 0 || has_returns) {
+            let request = state.tokens.build_request(state.wait_count, now_us);
             let number = self.number();
             self.nodes[node].calls.push(Call {
                 number,
                 sent_us: now_us,
-                given_up: false,
+                is_abandoned: false,
             });
-            let bank = self.bank_of(node);
-            self.send(node, bank, &Message::BorrowAsk { ask, call: number });
+            let pool = self.pool_node_of(node);
+            self.send(
+                node,
+                pool,
+                &Message::BorrowRequest {
+                    request,
+                    call: number,
+                },
+            );
         }
-        self.renew(node);
+        self.query_owners(node);
         let (rate, state) = (self.rate, &mut self.nodes[node]);
         state.owner.track([(WORKSPACE, rate)], now_us);
     }
 
-    fn renew(&mut self, node: usize) {
-        if self.bank_of(node) != node {
+    fn query_owners(&mut self, node: usize) {
+        if self.pool_node_of(node) != node {
             return;
         }
         let now_us = self.clock_us(node);
         let names: Vec<String> = (0..OWNER_COUNT).map(|owner| owner.to_string()).collect();
-        let bank = &mut self.nodes[node].bank;
-        let to_ask = bank.owners_to_ask(names.iter().map(String::as_str), now_us);
-        let bank = PoolRef {
+        let pool = &mut self.nodes[node].pool;
+        let queries = pool.owners_to_query(names.iter().map(String::as_str), now_us);
+        let pool = PoolRef {
             node_id: node.to_string(),
-            bank_id: bank.bank_id(),
+            bank_id: pool.pool_id(),
         };
-        for to in to_ask {
-            let ask = LeaseRequest {
+        for query in queries {
+            let request = LeaseRequest {
                 workspace: WORKSPACE,
-                bank: bank.clone(),
-                predecessor_id: to.predecessor_id,
+                bank: pool.clone(),
+                predecessor_id: query.predecessor_id,
             };
-            let owner = to.owner.parse().expect("a number");
-            let call = self.bank_call(node);
-            self.send(node, owner, &Message::LeaseAsk { ask, call });
+            let owner = query.owner.parse().expect("a number");
+            let call = self.record_pool_call(node);
+            self.send(node, owner, &Message::LeaseRequest { request, call });
         }
     }
 
-    fn inject(&mut self) {
+    fn inject_faults(&mut self) {
         let node = self.random.random_range(0..self.nodes.len());
         if self.chance_permille(self.faults.pause_permille) {
             let pause_us = self.random.random_range(0..5_000_000);
@@ -419,15 +430,15 @@
         if self.chance_permille(self.faults.split_permille * 2) {
             self.nodes.iter_mut().for_each(|node| node.group = 0);
         }
-        if self.chance_permille(self.faults.bank_permille) {
-            self.bank_shift = self.random.random_range(0..self.nodes.len());
+        if self.chance_permille(self.faults.pool_move_permille) {
+            self.pool_shift = self.random.random_range(0..self.nodes.len());
         }
-        if self.chance_permille(self.faults.move_permille) {
+        if self.chance_permille(self.faults.slice_move_permille) {
             self.move_slices();
         }
     }
 
-    /// An owner gives slices up first and writes the table afterwards.
+    /// An owner gives slices up before the table is written.
     fn move_slices(&mut self) {
         let (from, to) = (
             self.random.random_range(0..OWNER_COUNT),
@@ -449,10 +460,10 @@
     fn run(&mut self, time_ms: u64, load: impl Fn(&mut StdRng, u64) -> Vec<usize>) {
         for _ in 0..time_ms {
             self.now_us += STEP_US;
-            self.inject();
+            self.inject_faults();
             self.deliver();
             for node in load(&mut self.random, self.now_us) {
-                self.request(node);
+                self.admit_or_wait(node);
             }
             for node in 0..self.nodes.len() {
                 if !self.is_paused(node) {
@@ -477,9 +488,9 @@
     }
 }
 
-/// A node's demand grows, so that it borrows ahead; it falls silent while the
-/// shares fill up; then every node wants all it can get.
-fn hostile_load(random: &mut StdRng, now_us: u64, rate: Rate) -> Vec<usize> {
+/// A node's demand grows, so that it borrows ahead; it goes idle while the
+/// shares fill up; then every node requests as much as it can get.
+fn adversarial_load(random: &mut StdRng, now_us: u64, rate: Rate) -> Vec<usize> {
     let period = now_us / 2_500_000;
     let phase_ms = now_us / 1000 % 2500;
     let silence_ms = 100 + period * 397 % 900;
@@ -492,6 +503,8 @@
     if is_flood { (0..8).collect() } else { vec![] }
 }
 
+/// Faults can let two pools or borrowers hold the same tokens. Both would spend
+/// them, and the fleet would exceed rate and burst.
 #[test]
 fn no_window_exceeds_rate_and_burst() {
     let cases = [
@@ -499,9 +512,9 @@
             name: "lossy network",
             faults: Faults {
                 loss_percent: 20,
-                double_percent: 20,
+                duplicate_percent: 20,
                 slow_percent: 10,
-                ..KIND
+                ..NO_FAULTS
             },
             rate: rate(200, 100),
         },
@@ -509,17 +522,17 @@
             name: "slow and lossy network",
             faults: Faults {
                 loss_percent: 40,
-                double_percent: 20,
+                duplicate_percent: 20,
                 slow_percent: 50,
-                ..KIND
+                ..NO_FAULTS
             },
             rate: rate(400, 200),
         },
         Case {
-            name: "pauses",
+            name: "paused processes",
             faults: Faults {
                 pause_permille: 5,
-                ..KIND
+                ..NO_FAULTS
             },
             rate: rate(200, 400),
         },
@@ -528,7 +541,7 @@
             faults: Faults {
                 restart_permille: 5,
                 slow_percent: 5,
-                ..KIND
+                ..NO_FAULTS
             },
             rate: rate(300, 300),
         },
@@ -536,50 +549,50 @@
             name: "split views",
             faults: Faults {
                 split_permille: 2,
-                ..KIND
+                ..NO_FAULTS
             },
             rate: rate(500, 200),
         },
         Case {
-            name: "banks change",
+            name: "pools change",
             faults: Faults {
-                bank_permille: 5,
-                ..KIND
+                pool_move_permille: 5,
+                ..NO_FAULTS
             },
             rate: rate(500, 200),
         },
         Case {
-            name: "banks change on a bad network",
+            name: "pools change on a lossy network",
             faults: Faults {
-                bank_permille: 3,
+                pool_move_permille: 3,
                 loss_percent: 10,
-                double_percent: 10,
+                duplicate_percent: 10,
                 slow_percent: 10,
                 pause_permille: 1,
-                ..KIND
+                ..NO_FAULTS
             },
             rate: rate(500, 200),
         },
         Case {
             name: "slices move",
             faults: Faults {
-                move_permille: 5,
-                ..KIND
+                slice_move_permille: 5,
+                ..NO_FAULTS
             },
             rate: rate(500, 500),
         },
         Case {
-            name: "everything",
+            name: "all faults",
             faults: Faults {
                 loss_percent: 10,
-                double_percent: 10,
+                duplicate_percent: 10,
                 max_delay_us: 5000,
                 slow_percent: 5,
                 pause_permille: 1,
                 restart_permille: 1,
                 split_permille: 1,
-                move_permille: 2,
-                bank_permille: 2,
+                slice_move_permille: 2,
+                pool_move_permille: 2,
             },
             rate: rate(300, 300),
         },
@@ -587,76 +600,79 @@
     for case in cases {
         let mut admitted_count = 0;
         for seed in 0..6 {
-            let mut world = World::new(seed, 8, case.rate, case.faults);
-            world.run(20_000, |random, now_us| {
-                hostile_load(random, now_us, case.rate)
+            let mut simulation = Simulation::new(seed, 8, case.rate, case.faults);
+            simulation.run(20_000, |random, now_us| {
+                adversarial_load(random, now_us, case.rate)
             });
-            let violations = window_violations(&world.admissions, case.rate);
+            let violations = window_violations(&simulation.admissions, case.rate);
             assert_eq!(violations.first(), None, "{} seed {seed}", case.name);
-            admitted_count += world.admissions.len();
+            admitted_count += simulation.admissions.len();
         }
         println!("{}: {admitted_count} admitted", case.name);
         assert!(admitted_count > 1000, "{}", case.name);
     }
 }
 
+/// A whole burst arrives at one node. A pool that reaches only a part of the
+/// shares would refuse the rest.
 #[test]
-fn a_full_burst_at_one_node_is_admitted_as_a_whole() {
+fn a_full_burst_at_one_node_is_admitted() {
     for rate in [rate(100, 50), rate(1000, 2000), rate(1, 7), rate(50, 4)] {
-        let mut world = World::new(1, 48, rate, KIND);
+        let mut simulation = Simulation::new(1, 48, rate, NO_FAULTS);
         let fill_ms = u64::from(rate.burst_count) * 1000 / u64::from(rate.rate_per_s);
-        world.run(WARM_UP_MS + fill_ms, |_, _| vec![]);
+        simulation.run(WARM_UP_MS + fill_ms, |_, _| vec![]);
         let burst = usize::try_from(rate.burst_count).expect("small");
-        let start_us = world.now_us + 1;
-        world.run(100, move |_, now_us| {
+        let start_us = simulation.now_us + 1;
+        simulation.run(100, move |_, now_us| {
             if now_us < start_us + STEP_US {
                 vec![17; burst]
             } else {
                 vec![]
             }
         });
-        assert_eq!(world.admissions.len(), burst, "{rate:?}");
-        assert_eq!(world.refused_count, 0, "{rate:?}");
+        assert_eq!(simulation.admissions.len(), burst, "{rate:?}");
+        assert_eq!(simulation.refused_count, 0, "{rate:?}");
     }
 }
 
-/// A workspace inside its rate moves its load from node to node. Tokens that
-/// stay behind at nodes would be missed, and requests refused wrongly.
+/// A workspace within its rate moves its load from node to node. If tokens
+/// stayed behind at nodes, requests would be wrongly refused.
 #[test]
-fn load_that_moves_is_hardly_refused() {
+fn moving_load_is_rarely_refused() {
     for node_count in [16, 48] {
         let rate = rate(500, 250);
-        let mut world = World::new(2, node_count, rate, KIND);
-        world.run(WARM_UP_MS, |_, _| vec![]);
-        world.message_count = 0;
-        world.run(30_000, move |random, now_us| {
-            let place = usize::try_from(now_us / 2_000_000).expect("small") * 5;
-            let node = (place + random.random_range(0..4)) % node_count;
+        let mut simulation = Simulation::new(2, node_count, rate, NO_FAULTS);
+        simulation.run(WARM_UP_MS, |_, _| vec![]);
+        simulation.message_count = 0;
+        simulation.run(30_000, move |random, now_us| {
+            let index = usize::try_from(now_us / 2_000_000).expect("small") * 5;
+            let node = (index + random.random_range(0..4)) % node_count;
             if random.random_range(0..100) < 45 {
                 vec![node]
             } else {
                 vec![]
             }
         });
-        let (admitted, refused) = (world.admissions.len(), world.refused_count);
-        let per_node_s = world.message_count as f64 / 30.0 / node_count as f64;
+        let (admitted_count, refused_count) =
+            (simulation.admissions.len(), simulation.refused_count);
+        let per_node_s = simulation.message_count as f64 / 30.0 / node_count as f64;
         println!(
-            "{node_count} nodes: {admitted} admitted, {refused} refused, {per_node_s:.2} messages/s a node"
+            "{node_count} nodes: {admitted_count} admitted, {refused_count} refused, {per_node_s:.2} messages/s per node"
         );
-        assert!((refused as f64) < 0.005 * admitted as f64);
+        assert!((refused_count as f64) < 0.005 * admitted_count as f64);
     }
 }
 
-/// Nodes are replaced one after the other, the bank among them. Requests inside
-/// the rate must not be refused for it.
+/// Nodes are replaced one after the other, including the one that holds the
+/// pool. Requests within the rate must not be refused because of it.
 #[test]
-fn a_change_of_bank_is_hardly_noticed() {
+fn a_pool_change_causes_few_refusals() {
     let rate = rate(500, 250);
-    let mut world = World::new(4, 16, rate, KIND);
-    world.run(WARM_UP_MS, |_, _| vec![]);
+    let mut simulation = Simulation::new(4, 16, rate, NO_FAULTS);
+    simulation.run(WARM_UP_MS, |_, _| vec![]);
     for shift in 0..10 {
-        world.bank_shift = shift;
-        world.run(3000, |random, _| {
+        simulation.pool_shift = shift;
+        simulation.run(3000, |random, _| {
             let node = random.random_range(0..16);
             if random.random_range(0..100) < 40 {
                 vec![node]
@@ -665,36 +681,37 @@
             }
         });
     }
-    let (admitted, refused) = (world.admissions.len(), world.refused_count);
-    println!("10 changes of bank: {admitted} admitted, {refused} refused");
-    assert_eq!(window_violations(&world.admissions, rate), []);
-    assert!((refused as f64) < 0.005 * admitted as f64);
+    let (admitted_count, refused_count) = (simulation.admissions.len(), simulation.refused_count);
+    println!("10 pool changes: {admitted_count} admitted, {refused_count} refused");
+    assert_eq!(window_violations(&simulation.admissions, rate), []);
+    assert!((refused_count as f64) < 0.005 * admitted_count as f64);
 }
 
-/// A workspace sends six times its rate at all nodes. It gets its rate and
-/// burst, no more and hardly less, and its refusals cost few messages.
+/// A workspace sends six times its rate at all nodes. It must get its rate and
+/// burst, no more and hardly less, and its refusals must cost few messages.
 #[test]
-fn an_offender_gets_its_rate_at_little_cost() {
+fn an_overloading_workspace_gets_its_rate_at_low_cost() {
     for node_count in [16, 48] {
         let rate = rate(500, 500);
-        let mut world = World::new(3, node_count, rate, KIND);
-        world.run(WARM_UP_MS, |_, _| vec![]);
-        world.message_count = 0;
-        world.run(10_000, move |random, _| {
+        let mut simulation = Simulation::new(3, node_count, rate, NO_FAULTS);
+        simulation.run(WARM_UP_MS, |_, _| vec![]);
+        simulation.message_count = 0;
+        simulation.run(10_000, move |random, _| {
             (0..3).map(|_| random.random_range(0..node_count)).collect()
         });
-        assert_eq!(window_violations(&world.admissions, rate), []);
-        let admitted_count = world.admissions.len();
-        let per_node_s = world.message_count as f64 / 10.0 / node_count as f64;
+        assert_eq!(window_violations(&simulation.admissions, rate), []);
+        let admitted_count = simulation.admissions.len();
+        let per_node_s = simulation.message_count as f64 / 10.0 / node_count as f64;
         println!(
-            "{node_count} nodes: {admitted_count} of 5500 admitted, {per_node_s:.2} messages/s a node"
+            "{node_count} nodes: {admitted_count} of 5500 admitted, {per_node_s:.2} messages/s per node"
         );
         assert!(admitted_count > 5500 * 95 / 100);
     }
 }
 
+/// A check that misses an exceeded window would let the other tests pass.
 #[test]
-fn the_check_finds_a_window_that_is_exceeded() {
+fn window_violations_finds_exceeded_windows() {
     let cases = [
         ("burst alone", vec![0, 0, 0], rate(1, 3), 0),
         ("one above the burst", vec![0, 0, 0, 0], rate(1, 3), 1),
@@ -704,7 +721,12 @@
             rate(1, 3),
             0,
         ),
-        ("a moment too early", vec![0, 0, 0, 999_999], rate(1, 3), 1),
+        (
+            "one microsecond too early",
+            vec![0, 0, 0, 999_999],
+            rate(1, 3),
+            1,
+        ),
         (
             "late window",
             vec![0, 9_000_000, 9_000_000, 9_000_001],
--- a/tests/quota_rpc.rs
+++ b/tests/quota_rpc.rs
@@ -1,4 +1,4 @@
-//! Calls between nodes: who is let in, what arrives, what a dead peer costs.
+//! Calls between nodes: authentication, encoding of messages and reconnection.
 
 use {
     clap::Parser,
@@ -23,14 +23,14 @@
 
 const SECRET: &str = "a secret of the fleet";
 
-/// Answers from fixed values and keeps what it was asked.
+/// Responds with fixed values and records the requests.
 #[derive(Default)]
-struct Fake {
-    borrowed: Mutex<Vec<BorrowRequest>>,
-    handed_over: Mutex<Vec<Handover>>,
+struct RecordingHandlers {
+    borrow_requests: Mutex<Vec<BorrowRequest>>,
+    handovers: Mutex<Vec<Handover>>,
 }
 
-impl Handlers for Fake {
+impl Handlers for RecordingHandlers {
     fn document(&self, kind: DocumentKind, above_version: u64) -> Option<Document> {
         (above_version < 9).then(|| Document {
             kind,
@@ -39,18 +39,18 @@
         })
     }
 
-    fn lease(&self, ask: LeaseRequest) -> LeaseResponse {
+    fn lease(&self, request: LeaseRequest) -> LeaseResponse {
         LeaseResponse {
-            slice_count: u16::try_from(ask.predecessor_id).expect("small in this test"),
+            slice_count: u16::try_from(request.predecessor_id).expect("small in this test"),
             level: 1 << 50,
             ttl_ms: 3,
             busy_ms: 4,
-            holder: ask.bank,
+            holder: request.bank,
         }
     }
 
-    async fn borrow(&self, ask: BorrowRequest) -> BorrowResponse {
-        self.borrowed.lock().expect("no panic").push(ask);
+    async fn borrow(&self, request: BorrowRequest) -> BorrowResponse {
+        self.borrow_requests.lock().expect("no panic").push(request);
         BorrowResponse {
             bank_id: 1,
             loan: 2,
@@ -61,16 +61,16 @@
     }
 
     fn take_over(&self, _: WorkspaceKey) -> Option<PoolHandover> {
-        Some(estate_of_fake())
+        Some(sample_handover())
     }
 
     fn hand_over(&self, handover: Handover) -> bool {
-        self.handed_over.lock().expect("no panic").push(handover);
+        self.handovers.lock().expect("no panic").push(handover);
         true
     }
 }
 
-fn estate_of_fake() -> PoolHandover {
+fn sample_handover() -> PoolHandover {
     PoolHandover {
         level: 1 << 51,
         lent_count: 5,
@@ -85,13 +85,13 @@
 
 struct TestNode {
     client: RpcClient,
-    fake: Arc<Fake>,
+    handlers: Arc<RecordingHandlers>,
     names: Names,
     address: SocketAddr,
     shutdown: CancellationToken,
 }
 
-fn start(ip: &str, secret: &str) -> TestNode {
+fn start_node(ip: &str, secret: &str) -> TestNode {
     let settings = Settings::parse_from([
         "dogwoodd",
         "--node-id=n",
@@ -103,14 +103,14 @@
         &format!("--fleet-secret={secret}"),
     ]);
     let names = Names::new();
-    let fake = Arc::new(Fake::default());
+    let handlers = Arc::new(RecordingHandlers::default());
     let shutdown = CancellationToken::new();
     let (client, calls) = rpc::channel();
     let config = RpcConfig::new(&settings, names.clone());
-    rpc::spawn(config, calls, fake.clone(), shutdown.clone()).expect("the address is free");
+    rpc::spawn(config, calls, handlers.clone(), shutdown.clone()).expect("the address is free");
     TestNode {
         client,
-        fake,
+        handlers,
         names,
         address: SocketAddr::new(settings.ip, settings.rpc_port),
         shutdown,
@@ -124,44 +124,60 @@
     }
 }
 
+/// Nodes number workspaces differently. A key sent untranslated would charge
+/// another workspace, and a large document must arrive complete.
 #[tokio::test]
-async fn calls_arrive_whole_and_names_are_translated() {
-    let (asker, asked) = (start("127.91.1.1", SECRET), start("127.91.1.2", SECRET));
-    asker.names.workspace("unknown elsewhere");
-    let (ours, theirs) = (asker.names.workspace("shop"), asked.names.workspace("shop"));
-    assert_ne!(ours, theirs);
+async fn calls_arrive_complete_and_workspace_keys_are_translated() {
+    let (client_node, server_node) = (
+        start_node("127.91.1.1", SECRET),
+        start_node("127.91.1.2", SECRET),
+    );
+    client_node.names.workspace("unknown elsewhere");
+    let (client_key, server_key) = (
+        client_node.names.workspace("shop"),
+        server_node.names.workspace("shop"),
+    );
+    assert_ne!(client_key, server_key);
 
     let fetch = |above| {
         let kind = DocumentKind::Slices;
-        asker.client.fetch_document(asked.address, kind, above)
+        client_node
+            .client
+            .fetch_document(server_node.address, kind, above)
     };
-    let document = fetch(8).await.expect("it answers").expect("it has one");
+    let document = fetch(8)
+        .await
+        .expect("the server responds")
+        .expect("the server has a newer document");
     assert_eq!((document.version, document.content.len()), (9, 1 << 20));
     assert_eq!(fetch(9).await, Ok(None));
 
-    let bank = PoolRef {
+    let pool = PoolRef {
         node_id: "bank".to_owned(),
         bank_id: u64::MAX,
     };
-    let ask = LeaseRequest {
-        workspace: ours,
-        bank: bank.clone(),
+    let request = LeaseRequest {
+        workspace: client_key,
+        bank: pool.clone(),
         predecessor_id: 77,
     };
-    let answer = asker.client.lease(asked.address, ask).await;
+    let response = client_node.client.lease(server_node.address, request).await;
     let expected = LeaseResponse {
         slice_count: 77,
         level: 1 << 50,
         ttl_ms: 3,
         busy_ms: 4,
-        holder: bank,
+        holder: pool,
     };
-    assert_eq!(answer, Ok(expected));
-    let estate = asker.client.take_over(asked.address, ours).await;
-    assert_eq!(estate, Ok(Some(estate_of_fake())));
+    assert_eq!(response, Ok(expected));
+    let handover = client_node
+        .client
+        .take_over(server_node.address, client_key)
+        .await;
+    assert_eq!(handover, Ok(Some(sample_handover())));
 
-    let ask = BorrowRequest {
-        workspace: ours,
+    let request = BorrowRequest {
+        workspace: client_key,
         borrower: process(1),
         bank_id: 2,
         last_loan: 3,
@@ -170,15 +186,39 @@
         need_count: 6,
         extra_count: 7,
     };
-    let answer = asker.client.borrow(asked.address, ask.clone()).await;
-    assert_eq!(answer.map(|answer| answer.granted_count), Ok(3));
+    let response = client_node
+        .client
+        .borrow(server_node.address, request.clone())
+        .await;
+    assert_eq!(response.map(|response| response.granted_count), Ok(3));
     let expected = BorrowRequest {
-        workspace: theirs,
-        ..ask
+        workspace: server_key,
+        ..request
     };
-    assert_eq!(*asked.fake.borrowed.lock().expect("no panic"), [expected]);
-    assert_eq!(asker.client.counters().of(CallKind::Borrow).call_count, 1);
-    assert!(asker.client.counters().of(CallKind::Borrow).byte_count > 50);
+    assert_eq!(
+        *server_node
+            .handlers
+            .borrow_requests
+            .lock()
+            .expect("no panic"),
+        [expected]
+    );
+    assert_eq!(
+        client_node
+            .client
+            .counters()
+            .of(CallKind::Borrow)
+            .call_count,
+        1
+    );
+    assert!(
+        client_node
+            .client
+            .counters()
+            .of(CallKind::Borrow)
+            .byte_count
+            > 50
+    );
 
     let handover = |workspace| Handover {
         export: SliceExport {
@@ -204,19 +244,22 @@
         moved_by_version: 6,
         to_started_unix_ms: 7,
     };
-    let taken = asker.client.hand_over(asked.address, handover(ours)).await;
-    assert_eq!(taken, Ok(true));
-    let arrived = asked.fake.handed_over.lock().expect("no panic");
-    assert_eq!(*arrived, [handover(theirs)]);
+    let was_accepted = client_node
+        .client
+        .hand_over(server_node.address, handover(client_key))
+        .await;
+    assert_eq!(was_accepted, Ok(true));
+    let arrived = server_node.handlers.handovers.lock().expect("no panic");
+    assert_eq!(*arrived, [handover(server_key)]);
 }
 
-/// Someone else on the network opens the port of calls between nodes. With an
-/// answer to its calls it could drain every workspace's quota.
+/// A stranger on the network connects to the RPC port. If it got responses, it
+/// could drain every workspace's quota.
 #[tokio::test]
-async fn a_peer_without_the_fleet_secret_is_answered_nothing() {
+async fn a_peer_without_the_fleet_secret_gets_no_response() {
     let (stranger, node) = (
-        start("127.91.2.1", "another secret of theirs"),
-        start("127.91.2.2", SECRET),
+        start_node("127.91.2.1", "another secret of theirs"),
+        start_node("127.91.2.2", SECRET),
     );
     let error = RpcError::NotAuthentic {
         address: node.address,
@@ -226,19 +269,26 @@
     assert_eq!(fetched, Err(error));
 }
 
-/// A node is replaced at the same address. Calls to it would fail for ever if
+/// A node is replaced at the same address. Calls to it would fail forever if
 /// the connection to the old process were kept.
 #[tokio::test]
-async fn a_replaced_peer_is_connected_to_anew() {
-    let (asker, asked) = (start("127.91.3.1", SECRET), start("127.91.3.2", SECRET));
+async fn a_replaced_peer_is_reconnected() {
+    let (client_node, server_node) = (
+        start_node("127.91.3.1", SECRET),
+        start_node("127.91.3.2", SECRET),
+    );
     let kind = DocumentKind::Keys;
-    let fetch = || asker.client.fetch_document(asked.address, kind, 9);
+    let fetch = || {
+        client_node
+            .client
+            .fetch_document(server_node.address, kind, 9)
+    };
     assert_eq!(fetch().await, Ok(None));
-    asked.shutdown.cancel();
+    server_node.shutdown.cancel();
     while fetch().await.is_ok() {
         tokio::task::yield_now().await;
     }
     assert!(matches!(fetch().await, Err(RpcError::Unreachable { .. })));
-    start("127.91.3.2", SECRET);
+    start_node("127.91.3.2", SECRET);
     assert_eq!(fetch().await, Ok(None));
 }
--- a/tests/quota_tokens.rs
+++ b/tests/quota_tokens.rs
@@ -1,10 +1,12 @@
-//! A node's tokens: who waits for them, whom it asks, what it does alone.
+//! Tokens of one node: order of waiting requests, choice of divider, admission
+//! without a divider.
 
 use {
     dogwoodbridge::{
         model::{Class, WorkspaceKey},
         quota::{
-            DividedQuota, DividerChoice, Outstanding, QuotaGate, Rate, TokenGrant, TokenHoldings,
+            DividedQuota, DividerChoice, OutstandingReports, QuotaGate, Rate, TokenGrant,
+            TokenHoldings,
         },
         timer::Timer,
     },
@@ -19,92 +21,94 @@
 const PERIOD_US: u64 = 200_000;
 const SECOND_US: u64 = 1_000_000;
 
-/// Requests of a workspace come while the node holds no token, the most
-/// important ones last. Served in the order of arrival, reads would take the
-/// tokens of orders.
+/// Requests arrive while the node holds no token, the most important ones last.
+/// Served in order of arrival, browse requests would take the tokens of
+/// critical ones.
 #[test]
-fn those_that_wait_are_served_by_importance() {
-    let mut holding = TokenHoldings::default();
-    let mut waits =
-        [Class::Browse, Class::Standard, Class::Critical].map(|class| (class, holding.wait(class)));
-    assert_eq!(holding.need().waiting_counts, [1, 1, 1]);
+fn waiting_requests_are_served_by_importance() {
+    let mut holdings = TokenHoldings::default();
+    let mut receivers = [Class::Browse, Class::Standard, Class::Critical]
+        .map(|class| (class, holdings.add_waiter(class)));
+    assert_eq!(holdings.take_need().waiting_counts, [1, 1, 1]);
     let grant = TokenGrant {
         counts: [0, 0, 2],
         empty_for_ms: [30, 20, 0],
     };
-    holding.granted(&grant, 0);
-    let verdicts = waits
+    holdings.apply_grant(&grant, 0);
+    let decisions = receivers
         .each_mut()
-        .map(|(_, receiver)| receiver.try_recv().expect("all are answered"));
-    assert_eq!(verdicts, [Err(30), Err(20), Ok(())]);
-    // The token left over is not given to a lesser class; it goes back.
-    holding.end_period(200);
-    assert_eq!(holding.need().returned_count, 1);
+        .map(|(_, receiver)| receiver.try_recv().expect("every waiter got a decision"));
+    assert_eq!(decisions, [Err(30), Err(20), Ok(())]);
+    // The remaining token is not given to a less important class; it is
+    // returned.
+    holdings.end_period(200);
+    assert_eq!(holdings.take_need().returned_count, 1);
 }
 
-/// The divider's thread stands still for a moment, or it is gone. Passed over
-/// too soon, nodes part and each part serves its own demand alone; passed over
-/// too late, all wait for tokens.
+/// The divider's thread pauses briefly, or the divider is gone. If nodes switch
+/// too early, they use different dividers and each divider serves only its own
+/// reporters' demand; if too late, all wait for tokens.
 #[test]
-fn a_divider_is_passed_over_when_it_stays_silent() {
+fn a_silent_divider_is_replaced() {
     struct Case {
         name: &'static str,
-        gap_us: u64,
-        ask_count: u32,
-        place: usize,
+        interval_us: u64,
+        report_count: u32,
+        expected_index: usize,
     }
     let cases = [
         Case {
-            name: "many asks in a short stop",
-            gap_us: 12_000,
-            ask_count: 10,
-            place: 0,
+            name: "many reports during a short pause",
+            interval_us: 12_000,
+            report_count: 10,
+            expected_index: 0,
         },
         Case {
-            name: "gone under load",
-            gap_us: 12_000,
-            ask_count: 14,
-            place: 1,
+            name: "divider lost under load",
+            interval_us: 12_000,
+            report_count: 14,
+            expected_index: 1,
         },
         Case {
             name: "one lost report",
-            gap_us: PERIOD_US,
-            ask_count: 2,
-            place: 0,
+            interval_us: PERIOD_US,
+            report_count: 2,
+            expected_index: 0,
         },
         Case {
-            name: "gone when idle",
-            gap_us: PERIOD_US,
-            ask_count: 4,
-            place: 1,
+            name: "divider lost while idle",
+            interval_us: PERIOD_US,
+            report_count: 4,
+            expected_index: 1,
         },
     ];
     for case in cases {
         let mut choice = DividerChoice::new();
         let mut now_us = SECOND_US;
-        choice.answered(now_us);
-        for _ in 0..case.ask_count {
-            now_us += case.gap_us;
-            choice.asked(now_us);
+        choice.record_reply(now_us);
+        for _ in 0..case.report_count {
+            now_us += case.interval_us;
+            choice.record_report(now_us);
         }
         assert_eq!(
-            choice.place(NODE_COUNT, now_us),
-            case.place,
+            choice.select_index(NODE_COUNT, now_us),
+            case.expected_index,
             "{}",
             case.name
         );
-        assert_eq!(choice.place(NODE_COUNT, now_us + 4 * SECOND_US), 0);
+        assert_eq!(choice.select_index(NODE_COUNT, now_us + 4 * SECOND_US), 0);
     }
 }
 
-/// A node cannot reach any divider. It admits by its own even share, also when
-/// it held tokens: whoever divides may have counted them again.
+/// A node that reaches no divider admits by its own even share, even if it held
+/// tokens: the divider may have counted them again.
 #[tokio::test]
 async fn a_node_without_a_divider_admits_by_its_even_share() {
     let workspace = WorkspaceKey::new(0);
     let quota = DividedQuota::new(Timer::new(CancellationToken::new()));
     quota.set_member_count(NODE_COUNT);
-    // Nothing was granted yet: the request waits and is told to come back.
+    // Nothing was granted yet: the request waits and is refused with a retry
+    // time.
     let refused = quota.admit(workspace, RATE, Class::Critical).await;
     assert!(refused.is_err_and(|refusal| refusal.retry_after_ms > 0));
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
@@ -112,26 +116,26 @@
     while quota.admit(workspace, RATE, Class::Critical).await.is_ok() {
         admitted_count += 1;
     }
-    // Half a second of a sixteenth of 200 a second.
+    // Half a second of a sixteenth of 200 per second.
     assert!((5..=13).contains(&admitted_count), "{admitted_count}");
 }
 
-/// A request got a token and was then refused by a busy target. Without the
-/// token back its caller would be refused for its rate as well, although
-/// nothing ran.
+/// A busy target refuses a request that got a token. If the token were not
+/// returned, the caller would also be refused for its rate, although nothing
+/// ran.
 #[tokio::test]
-async fn a_request_that_did_not_run_gives_its_token_back() {
+async fn a_request_that_did_not_run_returns_its_token() {
     let workspace = WorkspaceKey::new(0);
     let timer = Timer::new(CancellationToken::new());
     let quota = DividedQuota::new(timer.clone());
     quota.set_member_count(NODE_COUNT);
-    quota.lent(timer.now_us() + 60 * SECOND_US);
+    quota.record_share_lent(timer.now_us() + 60 * SECOND_US);
     assert!(quota.admit(workspace, RATE, Class::Browse).await.is_err());
     let grant = TokenGrant {
         counts: [1, 0, 0],
         empty_for_ms: [60_000; 3],
     };
-    quota.granted(workspace, &grant);
+    quota.apply_grant(workspace, &grant);
     for _ in 0..3 {
         assert!(quota.admit(workspace, RATE, Class::Browse).await.is_ok());
         assert!(quota.admit(workspace, RATE, Class::Browse).await.is_err());
@@ -139,54 +143,55 @@
     }
 }
 
-/// A node is killed and starts anew while the reply to its last report is on the
-/// way, or a reply comes twice. Honoured, its tokens would be admitted although
-/// the divider counts them for others, and the workspace would exceed its rate.
+/// A node is killed and restarts while the reply to its last report is under
+/// way, or a reply arrives twice. If accepted, its tokens would be admitted
+/// although the divider counts them for others, and the workspace would exceed
+/// its rate.
 #[test]
-fn only_a_report_of_this_process_is_answered_and_once() {
+fn replies_are_accepted_once_and_only_for_own_reports() {
     struct Case {
         name: &'static str,
         process_id: u64,
         sent_us: u64,
-        is_believed: bool,
+        is_accepted: bool,
     }
     let cases = [
         Case {
-            name: "to an earlier process at the same time",
+            name: "reply to an earlier process with the same time",
             process_id: 6,
             sent_us: 200,
-            is_believed: false,
+            is_accepted: false,
         },
         Case {
-            name: "never sent",
+            name: "reply to a report that was never sent",
             process_id: 7,
             sent_us: 300,
-            is_believed: false,
+            is_accepted: false,
         },
         Case {
-            name: "to this process",
+            name: "reply to this process",
             process_id: 7,
             sent_us: 200,
-            is_believed: true,
+            is_accepted: true,
         },
         Case {
-            name: "a second time",
+            name: "the same reply again",
             process_id: 7,
             sent_us: 200,
-            is_believed: false,
+            is_accepted: false,
         },
         Case {
-            name: "late, after a newer report",
+            name: "late reply, after a newer report",
             process_id: 7,
             sent_us: 100,
-            is_believed: true,
+            is_accepted: true,
         },
     ];
-    let mut outstanding = Outstanding::new(7);
-    outstanding.sent(100);
-    outstanding.sent(200);
+    let mut outstanding = OutstandingReports::new(7);
+    outstanding.record_sent(100);
+    outstanding.record_sent(200);
     for case in cases {
-        let is_believed = outstanding.settle(case.process_id, case.sent_us);
-        assert_eq!(is_believed, case.is_believed, "{}", case.name);
+        let is_accepted = outstanding.accept_reply(case.process_id, case.sent_us);
+        assert_eq!(is_accepted, case.is_accepted, "{}", case.name);
     }
 }
