--- a/src/admission/admit_all.rs
+++ b/src/admission/admit_all.rs
@@ -1,4 +1,4 @@
-//! Baseline: every request starts at once.
+//! Baseline policy without a limit.
 
 use {
     super::{AdmissionPolicy, Arrival, Decision, LoadReport, TargetResult, TargetSize, TicketKey},
@@ -8,7 +8,7 @@
     },
 };
 
-/// Starts every request at once; kept as the comparison.
+/// Starts every request at once. Baseline to compare other policies with.
 #[derive(Debug)]
 pub struct AdmitAll {
     running: Arena<TicketKey, Arrival>,
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,28 +1,28 @@
-//! Admission at the target's node: what may start, wait or is refused.
+//! Admission at the node of a target: decides whether a request starts, waits or is refused.
 
 mod adaptive;
 mod admit_all;
 mod delay;
 mod downstream;
 mod limit;
-mod pressure;
 mod queue;
-mod relief;
 mod reserve;
 mod retry_after;
 mod service_time;
 mod static_limit;
+mod threshold;
 mod trial;
 mod urgent_demand;
 mod window;
+mod work_shares;
 
 pub use {
     adaptive::Adaptive,
     admit_all::AdmitAll,
     downstream::Downstream,
     limit::{ConcurrencyLimit, MIN_LIMIT, REPORT_AGE_LIMIT_US},
-    relief::Relief,
     static_limit::StaticLimit,
+    work_shares::WorkShares,
 };
 
 use crate::{
@@ -31,88 +31,88 @@
 };
 
 arena_key! {
-    /// One request at the target's node, from its arrival to its end.
+    /// One request at the node of a target, from its arrival to its end.
     TicketKey
 }
 
-/// What admission knows of an arriving request.
+/// Properties of an arriving request.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub struct Arrival {
-    /// Importance of the request.
+    /// Class of the request.
     pub class: Class,
-    /// Workspace that it runs for.
+    /// Workspace that sent it.
     pub workspace: WorkspaceKey,
-    /// Time at which its caller stops waiting.
+    /// Deadline, on the clock of `now_us`.
     pub deadline_us: u64,
 }
 
-/// What becomes of a request; given to the shell, which carries it out.
+/// Decision about one request, which the caller of the policy carries out.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub enum Decision {
     /// Send the request to the target now.
     Start(TicketKey),
-    /// Answer the request with this refusal now.
+    /// Refuse the request now.
     Refuse(TicketKey, Refusal),
 }
 
 /// How a started request ended at the target.
 #[derives::key]
 pub enum TargetResult {
-    /// The target answered whole.
+    /// The target sent a complete response.
     Answered,
-    /// The target itself shed it (503 or 429 of its own).
+    /// The target itself shed the request (it responded with 503 or 429).
     Shed,
-    /// The target failed or the answer was lost.
+    /// The target failed or its response was lost.
     Failed,
-    /// It was cancelled while running; its time tells little.
+    /// The request was cancelled while running; its latency is only a lower bound.
     Cancelled,
 }
 
-/// Load as the target itself tells it; may lag or be wrong.
+/// Load that the target itself reports; may be late or wrong.
 #[derives::value]
 #[derive(Copy)]
 pub struct LoadReport {
     /// Share of slots in use, 0.0 to 1.0.
     pub busy_ratio: f64,
-    /// When the node received it.
+    /// Time at which the node received the report.
     pub received_us: u64,
 }
 
-/// Size of a target as it announced itself.
+/// Announced size of a target.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub struct TargetSize {
-    /// Requests that it can work on at a time.
+    /// Requests that it can process at the same time.
     pub slot_count: u32,
     /// Connections that it accepts.
     pub connection_count: u32,
-    /// Whether the number of slots can be relied on: the target works on just
-    /// so many requests, and nobody else sends it any.
+    /// Whether `slot_count` is reliable: the target processes exactly that many requests, and
+    /// nothing else sends it requests.
     pub is_exact: bool,
 }
 
-/// Decides over the requests of one target.
+/// Decides about the requests of one target.
 ///
-/// Implementations do no I/O and read no clock. Every ticket gets exactly one
-/// `Start` or `Refuse`, unless it is withdrawn first; every started ticket is
-/// ended by `end`.
+/// Implementations perform no I/O and read no clock. Every ticket gets exactly one `Start` or
+/// `Refuse`, unless it is withdrawn first; `end` is called for every started ticket.
 pub trait AdmissionPolicy: Send + 'static {
     /// A policy for a target of this size.
     fn new(size: TargetSize) -> Self;
 
-    /// The target announced itself again, perhaps after a restart.
+    /// Sets the announced size, again on each announcement; `restarted` if the target restarted.
     fn set_size(&mut self, size: TargetSize, restarted: bool, now_us: u64);
 
-    /// A request arrives; decisions, also over others, are added to `decisions`.
+    /// Handles an arriving request. Decisions, also about other requests, are appended to
+    /// `decisions`.
     fn arrive(&mut self, arrival: Arrival, now_us: u64, decisions: &mut Vec<Decision>)
     -> TicketKey;
 
-    /// A waiting request was given up by its caller.
+    /// Handles a request that its caller cancelled.
     fn withdraw(&mut self, ticket: TicketKey, now_us: u64, decisions: &mut Vec<Decision>);
 
-    /// A started request ended.
+    /// Handles the end of a started request.
     fn end(
         &mut self,
         ticket: TicketKey,
@@ -121,24 +121,24 @@
         decisions: &mut Vec<Decision>,
     );
 
-    /// Regular look at queues and limits.
+    /// Updates queues and limits. Called on every tick.
     fn tick(&mut self, now_us: u64, decisions: &mut Vec<Decision>);
 
-    /// Takes the target's own load report as a hint.
+    /// Records a load report of the target, used as a hint.
     fn report(&mut self, report: LoadReport);
 
-    /// Refuses all that arrives from now on; what waits may still start.
+    /// Refuses all requests that arrive from now on; waiting ones may still start.
     fn drain(&mut self);
 
-    /// Refuses what still waits, as draining.
+    /// Refuses all waiting requests with [`Reason::Draining`](crate::model::Reason::Draining).
     fn refuse_waiting(&mut self, now_us: u64, decisions: &mut Vec<Decision>);
 
-    /// Level that answers to requests of this class carry upstream.
+    /// Admission level propagated upstream in responses to requests of this class.
     fn level(&self, class: Class, now_us: u64) -> AdmissionLevel;
 
-    /// Requests that were started and have not ended.
+    /// Number of started requests that have not ended.
     fn running_count(&self) -> usize;
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     fn waiting_count(&self) -> usize;
 }
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -1,33 +1,34 @@
-//! Waiting requests of one class, shared out fairly over workspaces.
+//! Fair queuing of one class across workspaces.
 
 use {super::TicketKey, crate::model::WorkspaceKey, std::collections::VecDeque};
 
-/// Cost of a request over the mean cost above which no more is charged; it
-/// bounds the rounds until a costly workspace has its turn.
+/// Largest cost charged for a request, in mean requests; bounds the rounds that an expensive
+/// workspace waits for its turn.
 const MAX_COST_RATIO: f64 = 4.0;
-/// Withdrawn entries that a line may hold before it is compacted.
+/// Withdrawn tickets that a queue may hold, beyond as many as it has live ones, before it is
+/// compacted.
 const STALE_SLACK_COUNT: usize = 16;
 
 /// Waiting requests of one workspace.
 #[derive(Debug, Default)]
-struct Line {
+struct WorkspaceQueue {
     tickets: VecDeque<TicketKey>,
     live_count: usize,
-    /// Turns that the workspace has saved up, in mean requests.
+    /// Credit left from earlier rounds, in mean requests.
     deficit: f64,
-    /// Whether this round's turn was added to `deficit` already.
-    visited: bool,
-    in_round: bool,
+    /// Whether `deficit` already includes the credit of this round.
+    has_credit: bool,
+    is_active: bool,
 }
 
 /// Deficit round robin over the workspaces of one class.
 ///
-/// Withdrawn tickets stay in their line until they are met or the line is
-/// compacted; `is_live` tells them apart, so that a withdrawal costs O(1).
+/// Withdrawn tickets stay queued until they are popped or the queue is compacted, so that a
+/// withdrawal costs amortized O(1). `is_live` distinguishes them.
 #[derive(Debug, Default)]
 pub struct ClassQueue {
-    lines: Vec<Line>,
-    round: VecDeque<usize>,
+    queues: Vec<WorkspaceQueue>,
+    active_workspaces: VecDeque<usize>,
     live_count: usize,
 }
 
@@ -38,113 +39,117 @@
         Self::default()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.live_count
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.live_count == 0
     }
 
-    /// Requests of this workspace that wait.
+    /// Number of waiting requests of this workspace.
     #[must_use]
     pub fn workspace_len(&self, workspace: WorkspaceKey) -> usize {
-        self.lines
+        self.queues
             .get(workspace.index())
-            .map_or(0, |line| line.live_count)
+            .map_or(0, |queue| queue.live_count)
     }
 
-    /// Workspaces that have requests waiting.
+    /// Number of workspaces with waiting requests.
     #[must_use]
     pub fn workspace_count(&self) -> usize {
-        self.round.len()
+        self.active_workspaces.len()
     }
 
     /// Adds a request behind the others of its workspace.
     pub fn push(&mut self, workspace: WorkspaceKey, ticket: TicketKey) {
         let index = workspace.index();
-        if index >= self.lines.len() {
-            self.lines.resize_with(index + 1, Line::default);
+        if index >= self.queues.len() {
+            self.queues.resize_with(index + 1, WorkspaceQueue::default);
         }
-        let line = &mut self.lines[index];
-        line.tickets.push_back(ticket);
-        line.live_count += 1;
+        let queue = &mut self.queues[index];
+        queue.tickets.push_back(ticket);
+        queue.live_count += 1;
         self.live_count += 1;
-        if !line.in_round {
-            line.in_round = true;
-            self.round.push_back(index);
+        if !queue.is_active {
+            queue.is_active = true;
+            self.active_workspaces.push_back(index);
         }
     }
 
-    /// Takes the next request: of the workspace whose turn it is, the oldest
-    /// or the newest. `cost_of` gives a workspace's cost in mean requests.
+    /// Pops the oldest or newest request of the workspace whose turn it is. `cost_ratio_of` gives
+    /// the cost of a request of a workspace, in mean requests.
     pub fn pop(
         &mut self,
         newest_first: bool,
         is_live: impl Fn(TicketKey) -> bool,
-        cost_of: impl Fn(usize) -> f64,
+        cost_ratio_of: impl Fn(usize) -> f64,
     ) -> Option<TicketKey> {
-        while let Some(&index) = self.round.front() {
-            if self.lines[index].live_count == 0 {
-                self.round.pop_front();
-                self.lines[index].clear();
+        while let Some(&index) = self.active_workspaces.front() {
+            if self.queues[index].live_count == 0 {
+                self.active_workspaces.pop_front();
+                self.queues[index].clear();
                 continue;
             }
-            let cost = cost_of(index).clamp(1.0 / MAX_COST_RATIO, MAX_COST_RATIO);
-            let line = &mut self.lines[index];
-            if !line.visited {
-                line.visited = true;
-                line.deficit += 1.0;
+            let cost_ratio = cost_ratio_of(index).clamp(1.0 / MAX_COST_RATIO, MAX_COST_RATIO);
+            let queue = &mut self.queues[index];
+            if !queue.has_credit {
+                queue.has_credit = true;
+                queue.deficit += 1.0;
             }
-            if line.deficit < cost {
-                line.visited = false;
-                self.round.rotate_left(1);
+            if queue.deficit < cost_ratio {
+                queue.has_credit = false;
+                self.active_workspaces.rotate_left(1);
                 continue;
             }
-            line.deficit -= cost;
+            queue.deficit -= cost_ratio;
             self.live_count -= 1;
-            return line.take(newest_first, &is_live);
+            return queue.pop_live(newest_first, &is_live);
         }
         None
     }
 
-    /// Takes a request out that is to be shed: of the workspace with the most
-    /// waiting, its newest, or its oldest where the newest are served first.
-    pub fn shed(
+    /// Pops the request to shed: the newest of the workspace with the most waiting requests, or
+    /// its oldest if the newest are served first.
+    pub fn pop_to_shed(
         &mut self,
         newest_first: bool,
         is_live: impl Fn(TicketKey) -> bool,
     ) -> Option<TicketKey> {
         let index = *self
-            .round
+            .active_workspaces
             .iter()
-            .max_by_key(|index| self.lines[**index].live_count)?;
-        let line = &mut self.lines[index];
-        if line.live_count == 0 {
+            .max_by_key(|index| self.queues[**index].live_count)?;
+        let queue = &mut self.queues[index];
+        if queue.live_count == 0 {
             return None;
         }
         self.live_count -= 1;
-        line.take(!newest_first, &is_live)
+        queue.pop_live(!newest_first, &is_live)
     }
 
-    /// Notes that a waiting request of this workspace is gone; `is_live` no
-    /// longer holds for it.
-    pub fn forget(&mut self, workspace: WorkspaceKey, is_live: impl Fn(TicketKey) -> bool) {
-        let line = &mut self.lines[workspace.index()];
-        line.live_count -= 1;
+    /// Records that a waiting request of this workspace was withdrawn or refused; `is_live` must
+    /// already be false for it.
+    pub fn record_removal(&mut self, workspace: WorkspaceKey, is_live: impl Fn(TicketKey) -> bool) {
+        let queue = &mut self.queues[workspace.index()];
+        queue.live_count -= 1;
         self.live_count -= 1;
-        if line.tickets.len() > 2 * line.live_count + STALE_SLACK_COUNT {
-            line.tickets.retain(|ticket| is_live(*ticket));
+        if queue.tickets.len() > 2 * queue.live_count + STALE_SLACK_COUNT {
+            queue.tickets.retain(|ticket| is_live(*ticket));
         }
     }
 }
 
-impl Line {
-    fn take(&mut self, newest: bool, is_live: &impl Fn(TicketKey) -> bool) -> Option<TicketKey> {
+impl WorkspaceQueue {
+    fn pop_live(
+        &mut self,
+        newest: bool,
+        is_live: &impl Fn(TicketKey) -> bool,
+    ) -> Option<TicketKey> {
         loop {
             let ticket = if newest {
                 self.tickets.pop_back()?
@@ -161,7 +166,7 @@
     fn clear(&mut self) {
         self.tickets.clear();
         self.deficit = 0.0;
-        self.visited = false;
-        self.in_round = false;
+        self.has_credit = false;
+        self.is_active = false;
     }
 }
--- a/src/admission/static_limit.rs
+++ b/src/admission/static_limit.rs
@@ -1,4 +1,4 @@
-//! Baseline: a fixed limit and one first-in-first-out queue.
+//! Baseline policy with a fixed limit and one first-in-first-out queue.
 
 use {
     super::{AdmissionPolicy, Arrival, Decision, LoadReport, TargetResult, TargetSize, TicketKey},
@@ -9,9 +9,9 @@
     std::collections::VecDeque,
 };
 
-/// Requests that may wait for each slot.
-const WAITING_PER_SLOT: u32 = 4;
-/// Time after which refused callers are told to come back.
+/// Requests that may wait per slot.
+const MAX_WAITING_PER_SLOT: u32 = 4;
+/// Retry time sent to refused callers.
 const RETRY_AFTER_MS: u32 = 1000;
 
 #[derive(Debug, Clone, Copy)]
@@ -20,8 +20,8 @@
     is_running: bool,
 }
 
-/// As many requests as the target has slots; the others wait in their order
-/// of arrival. Kept as the comparison.
+/// Runs as many requests as the target has slots; the others wait in order of arrival. Baseline
+/// to compare other policies with.
 #[derive(Debug)]
 pub struct StaticLimit {
     tickets: Arena<TicketKey, Ticket>,
@@ -58,7 +58,7 @@
         });
         if self.draining {
             self.refuse(ticket, Reason::Draining, decisions);
-        } else if self.queue.len() >= (self.limit * WAITING_PER_SLOT) as usize {
+        } else if self.queue.len() >= (self.limit * MAX_WAITING_PER_SLOT) as usize {
             self.refuse(ticket, Reason::Overloaded, decisions);
         } else {
             self.queue.push_back(ticket);
@@ -69,7 +69,7 @@
 
     fn withdraw(&mut self, ticket: TicketKey, now_us: u64, decisions: &mut Vec<Decision>) {
         match self.tickets.get(ticket) {
-            Some(entry) if entry.is_running => {
+            Some(request) if request.is_running => {
                 self.end(ticket, TargetResult::Cancelled, now_us, decisions);
             }
             Some(_) => {
@@ -90,7 +90,7 @@
         if self
             .tickets
             .get(ticket)
-            .is_some_and(|entry| entry.is_running)
+            .is_some_and(|request| request.is_running)
         {
             self.tickets.remove(ticket);
             self.running_count -= 1;
@@ -139,14 +139,14 @@
             let Some(ticket) = self.queue.pop_front() else {
                 return;
             };
-            let Some(entry) = self.tickets.get_mut(ticket) else {
+            let Some(request) = self.tickets.get_mut(ticket) else {
                 continue;
             };
-            if entry.deadline_us <= now_us {
+            if request.deadline_us <= now_us {
                 self.refuse(ticket, Reason::TooLate, decisions);
                 continue;
             }
-            entry.is_running = true;
+            request.is_running = true;
             self.running_count += 1;
             decisions.push(Decision::Start(ticket));
         }
--- a/src/admission/trial.rs
+++ b/src/admission/trial.rs
@@ -1,49 +1,50 @@
-//! What a trial of a lower limit showed.
+//! Evaluation of a trial with a lower limit.
 
 use super::window::Window;
 
-/// Latency in the trial over latency before it, below which requests were
-/// waiting inside the target. Nearer to "stayed" than to "fell along", since
-/// latency that is cut off at deadlines falls less than the waiting does.
-const WAITING_RATIO: f64 = 0.92;
-/// Standard errors by which it must have fallen.
-const TRIAL_ERROR_COUNT: f64 = 2.5;
-/// Share of requests given up while running from which the share is compared.
-const CUT_SHORT_RATIO: f64 = 0.2;
+/// Latency in the trial over latency before it below which requests were queued inside the
+/// target. Close to 1, since latency that is cut off at deadlines falls less than the time
+/// spent in the queue.
+const MAX_TRIAL_RATIO: f64 = 0.92;
+/// Standard errors by which a value must have fallen.
+const MIN_STANDARD_ERROR_COUNT: f64 = 2.5;
+/// Share of requests cancelled while running from which this share is compared too.
+const MIN_CANCELLED_RATIO: f64 = 0.2;
 
-/// Whether latency, or the share of requests whose callers gave up, fell along
-/// with the limit, beyond what chance does.
+/// Whether latency or the share of cancelled requests fell significantly with the limit, so that
+/// requests were queued inside the target.
 ///
-/// The share matters where requests wait in the target for longer than their
-/// callers do: latency is then cut off at the deadline with and without trial.
+/// The share matters where the queue in the target outlasts the deadlines: latency is then cut
+/// off at the deadline with and without a trial.
 ///
-/// In doubt it did not: a wrong "fell" takes capacity from users at once, a
-/// wrong "stayed" leaves some waiting in the target until the next trial.
-pub fn waiting_fell(before: &Window, after: &Window) -> bool {
-    let latency = Fall {
+/// `false` when in doubt: a wrong `true` removes capacity at once, a wrong `false` leaves some
+/// requests queued in the target until the next trial.
+pub fn target_queue_shrank(before: &Window, during: &Window) -> bool {
+    let latency = TrialChange {
         before: before.mean_us(),
-        after: after.mean_us(),
-        variance: before.mean_variance() + after.mean_variance(),
+        during: during.mean_us(),
+        variance: before.mean_variance() + during.mean_variance(),
     };
-    let cut_short = Fall {
-        before: before.cut_short_ratio(),
-        after: after.cut_short_ratio(),
-        variance: before.cut_short_variance() + after.cut_short_variance(),
+    let cancelled = TrialChange {
+        before: before.cancelled_ratio(),
+        during: during.cancelled_ratio(),
+        variance: before.cancelled_ratio_variance() + during.cancelled_ratio_variance(),
     };
-    latency.is_sure() || (cut_short.before >= CUT_SHORT_RATIO && cut_short.is_sure())
+    latency.is_significant_drop()
+        || (cancelled.before >= MIN_CANCELLED_RATIO && cancelled.is_significant_drop())
 }
 
-/// A figure before and in a trial.
-struct Fall {
+/// A value before and during a trial.
+struct TrialChange {
     before: f64,
-    after: f64,
+    during: f64,
     variance: f64,
 }
 
-impl Fall {
-    fn is_sure(&self) -> bool {
-        let error = self.variance.sqrt();
-        self.after < self.before * WAITING_RATIO
-            && self.before - self.after > error * TRIAL_ERROR_COUNT
+impl TrialChange {
+    fn is_significant_drop(&self) -> bool {
+        let standard_error = self.variance.sqrt();
+        self.during < self.before * MAX_TRIAL_RATIO
+            && self.before - self.during > standard_error * MIN_STANDARD_ERROR_COUNT
     }
 }
--- a/tests/admission_downstream.rs
+++ b/tests/admission_downstream.rs
@@ -1,4 +1,4 @@
-//! New requests are held back while the calls of those before them fail.
+//! New requests are throttled while downstream calls fail or downstream services are full.
 
 use {
     dogwoodbridge::{
@@ -9,57 +9,56 @@
 };
 
 const STEP_US: u64 = 1000;
-/// Calls that each request makes at the deepest service, one after the other.
-const CALLS: u32 = 8;
-/// Calls a second that the deepest service serves.
+/// Sequential calls that each request makes to the deepest service.
+const CALLS_PER_REQUEST: u32 = 8;
+/// Calls per second that the deepest service can serve.
 const CAPACITY_PER_S: f64 = 800.0;
-/// Requests a second: twice what the deepest service has room for.
+/// Requests per second: twice the capacity of the deepest service.
 const DEMAND_PER_S: f64 = 200.0;
 
-/// Requests a second that are served whole. The deepest service refuses calls
-/// at random beyond its capacity; a request ends at its first refused call.
-fn served_per_s(downstream: &mut Downstream, seconds: u64) -> f64 {
+/// Completed requests per second. The deepest service refuses calls at random beyond its capacity;
+/// a request ends at its first refused call.
+fn served_per_s(downstream: &mut Downstream, duration_s: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(5);
-    let mut called_per_s = 0.0;
+    let mut call_rate_per_s = 0.0;
     let mut served_count = 0;
-    for step in 0..seconds * 1000 {
+    for step in 0..duration_s * 1000 {
         let now_us = step * STEP_US;
-        let mut called_count = 0;
+        let mut call_count = 0;
         if rng.random::<f64>() < DEMAND_PER_S / 1000.0
             && downstream.admits(Class::Browse, Class::Browse, rng.random(), now_us)
         {
-            let refused_ratio = 1.0 - (CAPACITY_PER_S / f64::max(called_per_s, 1.0)).min(1.0);
-            let mut is_whole = true;
-            for _ in 0..CALLS {
-                called_count += 1;
+            let refused_ratio = 1.0 - (CAPACITY_PER_S / f64::max(call_rate_per_s, 1.0)).min(1.0);
+            let mut is_complete = true;
+            for _ in 0..CALLS_PER_REQUEST {
+                call_count += 1;
                 let is_refused = rng.random::<f64>() < refused_ratio;
                 downstream.note(is_refused, now_us);
                 if is_refused {
-                    is_whole = false;
+                    is_complete = false;
                     break;
                 }
             }
-            served_count += u32::from(is_whole);
+            served_count += u32::from(is_complete);
         }
-        // Calls a second over about the last fifth of a second.
-        called_per_s += (f64::from(called_count) * 1000.0 - called_per_s) / 200.0;
+        // Call rate over about the last 200 ms.
+        call_rate_per_s += (f64::from(call_count) * 1000.0 - call_rate_per_s) / 200.0;
     }
-    f64::from(served_count) / seconds as f64
+    f64::from(served_count) / duration_s as f64
 }
 
-/// Twice as many requests come as the deepest service has room for. All begin,
-/// nearly all lose one of their calls, and users get failures from a system that
-/// works at full load.
+/// Twice as many requests arrive as the deepest service can serve. If all are admitted, nearly all
+/// lose one of their calls, and callers get failures from a system at full load.
 #[test]
-fn fewer_requests_that_begin_are_more_that_are_served() {
-    let held_back = served_per_s(&mut Downstream::new(), 60);
-    let room_per_s = CAPACITY_PER_S / f64::from(CALLS);
-    println!("{held_back} of {room_per_s} requests a second");
-    assert!(held_back > 0.55 * room_per_s, "{held_back}");
+fn throttling_new_requests_increases_goodput() {
+    let goodput_per_s = served_per_s(&mut Downstream::new(), 60);
+    let capacity_per_s = CAPACITY_PER_S / f64::from(CALLS_PER_REQUEST);
+    println!("{goodput_per_s} of {capacity_per_s} requests per second");
+    assert!(goodput_per_s > 0.55 * capacity_per_s, "{goodput_per_s}");
 }
 
 #[test]
-fn classes_step_down_in_order_and_no_lower_than_their_floors() {
+fn shares_fall_by_class_and_not_below_their_minimum() {
     let mut downstream = Downstream::new();
     let mut last_us = 0;
     let mut shares = Vec::new();
@@ -78,7 +77,7 @@
     assert!(browse >= 0.249 * critical && browse < standard && standard < critical);
     let first_critical = shares.iter().position(|share| share[2] < 1.0).unwrap();
     assert!(shares[first_critical][0] < 0.31 && shares[first_critical][1] < 0.51);
-    // And all come back once calls succeed.
+    // All shares recover once calls succeed.
     for window in 1..60 {
         for _ in 0..20 {
             downstream.note(false, last_us + window * 200_000);
@@ -87,9 +86,9 @@
     assert_eq!(Class::ALL.map(|class| downstream.share(class)), [1.0; 3]);
 }
 
-/// One target error in a hundred calls says nothing of load.
+/// One target error in a hundred calls does not indicate overload.
 #[test]
-fn few_failures_hold_nothing_back() {
+fn few_failures_do_not_throttle_requests() {
     let mut downstream = Downstream::new();
     for index in 0..2000_u64 {
         downstream.note(index.is_multiple_of(100), index * 5000);
@@ -97,7 +96,7 @@
     assert_eq!(downstream.share(Class::Browse), 1.0);
 }
 
-const fn told(load_percent: u16, below_percent: u16) -> AdmissionLevel {
+const fn level(load_percent: u16, below_percent: u16) -> AdmissionLevel {
     AdmissionLevel {
         load_percent,
         below_percent,
@@ -105,11 +104,10 @@
     }
 }
 
-/// A burst fills the deepest service. Calls still succeed, only later and
-/// later; once they fail, the requests that made them have used slots of every
-/// service above for nothing, and users get failures.
+/// A burst fills the deepest service. Calls still succeed, but ever later; once they fail, their
+/// requests have used slots of every upstream service for nothing, and callers get failures.
 #[test]
-fn a_full_service_below_holds_back_before_calls_fail() {
+fn a_full_downstream_service_throttles_requests_before_calls_fail() {
     struct Case {
         name: &'static str,
         level: AdmissionLevel,
@@ -117,29 +115,29 @@
     }
     let cases = [
         Case {
-            name: "called service has room",
-            level: told(90, 40),
+            name: "the called service is not full",
+            level: level(90, 40),
             is_full: false,
         },
         Case {
-            name: "called service is full",
-            level: told(250, 0),
+            name: "the called service is full",
+            level: level(250, 0),
             is_full: true,
         },
         Case {
-            name: "a service below it is full",
-            level: told(40, 250),
+            name: "a service further downstream is full",
+            level: level(40, 250),
             is_full: true,
         },
         Case {
-            name: "far beyond its slots",
-            level: told(40, 900),
+            name: "a service further downstream is far above its slots",
+            level: level(40, 900),
             is_full: true,
         },
     ];
     for case in cases {
         let mut downstream = Downstream::new();
-        // A second: fifty calls in each fifth.
+        // One second with fifty calls in each 200 ms.
         for call in 0..250 {
             let now_us = 200_000 + call * 4000;
             downstream.note(false, now_us);
@@ -152,60 +150,63 @@
             false => assert_eq!(share, 1.0, "{name}"),
         }
         assert_eq!(downstream.share(Class::Critical), 1.0, "{name}");
-        // The next node above sees it as well.
-        let met = case.level.load_percent.max(case.level.below_percent);
-        assert!(downstream.load_percent() >= met * 9 / 10, "{name}");
+        // The upstream node sees this load too.
+        let highest_load_percent = case.level.load_percent.max(case.level.below_percent);
+        assert!(
+            downstream.load_percent() >= highest_load_percent * 9 / 10,
+            "{name}"
+        );
     }
 }
 
-/// The deep service has room again. As long as requests are held back, its
-/// slots idle and users are refused for nothing.
+/// The deepest service has free slots again. While requests are still throttled, these slots idle
+/// and callers are refused unnecessarily.
 #[test]
-fn what_was_held_back_returns_within_five_seconds() {
+fn shares_recover_within_five_seconds() {
     let mut downstream = Downstream::new();
     let mut now_us = 0;
     for _ in 0..1000 {
         now_us += 4000;
-        downstream.note_level(told(900, 0), now_us);
+        downstream.note_level(level(900, 0), now_us);
     }
     assert!(downstream.share(Class::Browse) < 0.31);
-    let since_us = now_us;
+    let recovering_since_us = now_us;
     while downstream.share(Class::Browse) < 1.0 {
         now_us += 4000;
-        downstream.note_level(told(30, 0), now_us);
+        downstream.note_level(level(30, 0), now_us);
     }
-    // A few windows until the load that is remembered has fallen, and one class
-    // after the other from its floor.
-    let took_us = now_us - since_us;
-    assert!(took_us < 4_500_000, "{took_us}");
+    // A few windows until the average load has fallen; then one class after the other rises from
+    // its minimum.
+    let recovery_us = now_us - recovering_since_us;
+    assert!(recovery_us < 4_500_000, "{recovery_us}");
 }
 
-/// A price change makes no calls, but reads of the same service do, and these
-/// fail. Held back along with them, price changes would be refused although
-/// nothing that they need is full, and a shop sells at the old price.
+/// Price changes make no calls, but reads of the same service do, and these fail. Throttled with
+/// the reads, price changes would be refused although nothing that they need is full, and goods
+/// would be sold at the old price.
 #[test]
-fn a_class_without_calls_is_not_held_back_for_others() {
+fn a_class_without_calls_is_not_throttled_for_others() {
     struct Case {
         name: &'static str,
-        /// Part of critical requests that fail while half of the calls do.
+        /// Share of critical requests that fail while half of the calls fail.
         failed_ratio: f64,
-        is_held_back: bool,
+        is_throttled: bool,
     }
     let cases = [
         Case {
             name: "makes no calls",
             failed_ratio: 0.0,
-            is_held_back: false,
+            is_throttled: false,
         },
         Case {
-            name: "its target errs now and then",
+            name: "its target fails occasionally",
             failed_ratio: 0.01,
-            is_held_back: false,
+            is_throttled: false,
         },
         Case {
             name: "makes calls",
             failed_ratio: 0.9,
-            is_held_back: true,
+            is_throttled: true,
         },
     ];
     for case in cases {
@@ -219,15 +220,15 @@
                 downstream.note_end(Class::Critical, has_failed);
             }
         }
-        let is_held_back = downstream.share(Class::Critical) < 1.0;
-        assert_eq!(is_held_back, case.is_held_back, "{}", case.name);
+        let is_throttled = downstream.share(Class::Critical) < 1.0;
+        assert_eq!(is_throttled, case.is_throttled, "{}", case.name);
     }
 }
 
-/// Operators rank a workspace above others. While less is begun than asked, its
-/// requests are held back after those of lower workspaces, whatever their routes.
+/// Operators assign a higher class to a workspace than to others. Under overload, requests of
+/// lower workspaces are throttled before its requests, whatever their routes.
 #[test]
-fn the_workspaces_rank_goes_before_the_routes() {
+fn the_class_of_the_workspace_takes_precedence_over_the_route() {
     struct Case {
         workspace: Option<Class>,
         route: Class,
@@ -250,14 +251,14 @@
     for case in &cases {
         assert_eq!(case.route.within(case.workspace), case.ranked);
     }
-    let ranked = cases
+    let ranked_classes = cases
         .iter()
         .filter_map(|case| Some((case.workspace?, case.ranked)));
-    for (workspace, own) in ranked.clone() {
-        for (other, theirs) in ranked.clone() {
+    for (workspace, class) in ranked_classes.clone() {
+        for (other_workspace, other_class) in ranked_classes.clone() {
             assert!(
-                workspace <= other || own >= theirs,
-                "{workspace:?} {other:?}"
+                workspace <= other_workspace || class >= other_class,
+                "{workspace:?} {other_workspace:?}"
             );
         }
     }
--- a/tests/admission_drain.rs
+++ b/tests/admission_drain.rs
@@ -1,4 +1,4 @@
-//! A drain at the queue of a target.
+//! Draining of the admission queue of a target.
 
 use dogwoodbridge::{
     admission::{
@@ -13,26 +13,26 @@
     connection_count: 8,
     is_exact: false,
 };
-const FAR_US: u64 = 60_000_000;
+/// A deadline far in the future.
+const FAR_DEADLINE_US: u64 = 60_000_000;
 
 fn arrive<A: AdmissionPolicy>(policy: &mut A, decisions: &mut Vec<Decision>) -> TicketKey {
     let arrival = Arrival {
         class: Class::Critical,
         workspace: WorkspaceKey::new(0),
-        deadline_us: FAR_US,
+        deadline_us: FAR_DEADLINE_US,
     };
     policy.arrive(arrival, 0, decisions)
 }
 
-fn is_draining(decision: &Decision, ticket: TicketKey) -> bool {
+fn is_refused_as_draining(decision: &Decision, ticket: TicketKey) -> bool {
     matches!(decision, Decision::Refuse(key, refusal)
         if *key == ticket && refusal.reason == Reason::Draining)
 }
 
-/// A target leaves while a request waits for its slot. Refused at once, it
-/// would cost a retry, and the caller of a service with one target would see
-/// a refusal in a planned stop.
-fn what_waits_may_start_until_the_end<A: AdmissionPolicy>() {
+/// A target drains while requests wait for a slot. If they were refused at once, each would cost a
+/// retry, and callers of a service with a single target would get refusals at a planned shutdown.
+fn check_waiting_requests_start_while_draining<A: AdmissionPolicy>() {
     let mut decisions = Vec::new();
     let mut policy = A::new(SIZE);
     let mut running = Vec::new();
@@ -48,24 +48,28 @@
     policy.drain();
     assert_eq!(policy.waiting_count(), 2);
     assert!(policy.level(Class::Browse, 0).draining);
-    let late = arrive(&mut policy, &mut decisions);
-    assert!(decisions.iter().any(|decision| is_draining(decision, late)));
+    let late_ticket = arrive(&mut policy, &mut decisions);
+    assert!(
+        decisions
+            .iter()
+            .any(|decision| is_refused_as_draining(decision, late_ticket))
+    );
     decisions.clear();
     policy.end(running[0], TargetResult::Answered, 10, &mut decisions);
     assert_eq!(decisions, [Decision::Start(first_waiting)]);
     decisions.clear();
     policy.refuse_waiting(20, &mut decisions);
     assert_eq!(decisions.len(), 1);
-    assert!(is_draining(&decisions[0], second_waiting));
+    assert!(is_refused_as_draining(&decisions[0], second_waiting));
     assert_eq!(policy.waiting_count(), 0);
 }
 
 #[test]
-fn adaptive() {
-    what_waits_may_start_until_the_end::<Adaptive>();
+fn adaptive_starts_waiting_requests_while_draining() {
+    check_waiting_requests_start_while_draining::<Adaptive>();
 }
 
 #[test]
-fn static_limit() {
-    what_waits_may_start_until_the_end::<StaticLimit>();
+fn static_limit_starts_waiting_requests_while_draining() {
+    check_waiting_requests_start_while_draining::<StaticLimit>();
 }
--- a/tests/admission_limit.rs
+++ b/tests/admission_limit.rs
@@ -1,9 +1,9 @@
-//! Laws for the concurrency limit compared on the same model of a target.
+//! Concurrency limit algorithms compared on the same simulated target.
 
 mod admission_support;
 
 use {
-    admission_support::{Journal, Report, Scenario, Stream, run},
+    admission_support::{Recorder, Report, Scenario, Stream, run},
     dogwoodbridge::{
         admission::{
             AdmissionPolicy, Arrival, ConcurrencyLimit, Decision, LoadReport, MIN_LIMIT,
@@ -14,17 +14,17 @@
     },
 };
 
-/// A rule by which the limit moves.
-trait Law: Send + 'static {
+/// Algorithm that adjusts a concurrency limit.
+trait LimitAlgorithm: Send + 'static {
     fn new(size: TargetSize) -> Self;
     fn count(&self) -> u32;
-    fn started(&mut self, running_count: u32);
-    fn ended(&mut self, started_us: u64, cut_short: bool, now_us: u64);
+    fn record_start(&mut self, running_count: u32);
+    fn record_end(&mut self, started_us: u64, was_cancelled: bool, now_us: u64);
     fn tick(&mut self, now_us: u64);
 }
 
-/// The law in use.
-impl Law for ConcurrencyLimit {
+/// The algorithm used by the adaptive policy.
+impl LimitAlgorithm for ConcurrencyLimit {
     fn new(size: TargetSize) -> Self {
         Self::new(size)
     }
@@ -33,12 +33,12 @@
         self.count()
     }
 
-    fn started(&mut self, running_count: u32) {
-        self.started(running_count);
+    fn record_start(&mut self, running_count: u32) {
+        self.record_start(running_count);
     }
 
-    fn ended(&mut self, started_us: u64, cut_short: bool, now_us: u64) {
-        self.ended(started_us, cut_short, now_us);
+    fn record_end(&mut self, started_us: u64, was_cancelled: bool, now_us: u64) {
+        self.record_end(started_us, was_cancelled, now_us);
     }
 
     fn tick(&mut self, now_us: u64) {
@@ -46,10 +46,10 @@
     }
 }
 
-/// The announced slots, whatever happens.
+/// Always the announced slots.
 struct Fixed(u32);
 
-impl Law for Fixed {
+impl LimitAlgorithm for Fixed {
     fn new(size: TargetSize) -> Self {
         Self(size.slot_count)
     }
@@ -58,15 +58,15 @@
         self.0
     }
 
-    fn started(&mut self, _running_count: u32) {}
+    fn record_start(&mut self, _running_count: u32) {}
 
-    fn ended(&mut self, _started_us: u64, _cut_short: bool, _now_us: u64) {}
+    fn record_end(&mut self, _started_us: u64, _was_cancelled: bool, _now_us: u64) {}
 
     fn tick(&mut self, _now_us: u64) {}
 }
 
-/// Limit times floor over latency, plus room to grow; the floor follows the
-/// latency slowly when `FLOOR_WEIGHT_PER_MILLION` is not 0.
+/// Limit times latency floor over latency, plus headroom. The floor follows rising latency slowly
+/// unless `FLOOR_WEIGHT_PER_MILLION` is 0.
 struct Gradient<const FLOOR_WEIGHT_PER_MILLION: u32> {
     slots: f64,
     limit: f64,
@@ -74,7 +74,7 @@
     latency_us: f64,
 }
 
-impl<const WEIGHT: u32> Law for Gradient<WEIGHT> {
+impl<const WEIGHT: u32> LimitAlgorithm for Gradient<WEIGHT> {
     fn new(size: TargetSize) -> Self {
         Self {
             slots: f64::from(size.slot_count),
@@ -88,9 +88,9 @@
         self.limit as u32
     }
 
-    fn started(&mut self, _running_count: u32) {}
+    fn record_start(&mut self, _running_count: u32) {}
 
-    fn ended(&mut self, started_us: u64, _cut_short: bool, now_us: u64) {
+    fn record_end(&mut self, started_us: u64, _was_cancelled: bool, now_us: u64) {
         let sample_us = (now_us - started_us) as f64;
         if self.latency_us == 0.0 {
             self.latency_us = sample_us;
@@ -103,69 +103,74 @@
             self.floor_us + (self.latency_us - self.floor_us) * weight
         };
         let gradient = (1.5 * self.floor_us / self.latency_us).clamp(0.5, 1.0);
-        let wanted = self.limit * gradient + self.limit.sqrt();
-        self.limit = (self.limit + (wanted - self.limit) * 0.05).clamp(MIN_LIMIT, self.slots);
+        let next_limit = self.limit * gradient + self.limit.sqrt();
+        self.limit = (self.limit + (next_limit - self.limit) * 0.05).clamp(MIN_LIMIT, self.slots);
     }
 
     fn tick(&mut self, _now_us: u64) {}
 }
 
-/// Starts up to the law's limit and refuses the rest; saturated throughout.
-struct Limited<L> {
-    law: L,
+/// Starts requests up to the limit of the algorithm and refuses the rest.
+struct LimitOnly<L> {
+    algorithm: L,
     running: Arena<TicketKey, u64>,
 }
 
-impl<L: Law> AdmissionPolicy for Limited<L> {
+impl<L: LimitAlgorithm> AdmissionPolicy for LimitOnly<L> {
     fn new(size: TargetSize) -> Self {
         Self {
-            law: L::new(size),
+            algorithm: L::new(size),
             running: Arena::new(),
         }
     }
 
     fn set_size(&mut self, _size: TargetSize, _restarted: bool, _now_us: u64) {}
 
-    fn arrive(&mut self, _arrival: Arrival, now_us: u64, out: &mut Vec<Decision>) -> TicketKey {
+    fn arrive(
+        &mut self,
+        _arrival: Arrival,
+        now_us: u64,
+        decisions: &mut Vec<Decision>,
+    ) -> TicketKey {
         let ticket = self.running.insert(now_us);
         let running_count = u32::try_from(self.running.len()).expect("fits");
-        if running_count > self.law.count() {
+        if running_count > self.algorithm.count() {
             self.running.remove(ticket);
-            out.push(Decision::Refuse(
+            decisions.push(Decision::Refuse(
                 ticket,
                 Refusal::not_run(Reason::Overloaded),
             ));
         } else {
-            self.law.started(running_count);
-            out.push(Decision::Start(ticket));
+            self.algorithm.record_start(running_count);
+            decisions.push(Decision::Start(ticket));
         }
         ticket
     }
 
-    fn withdraw(&mut self, _ticket: TicketKey, _now_us: u64, _out: &mut Vec<Decision>) {}
+    fn withdraw(&mut self, _ticket: TicketKey, _now_us: u64, _decisions: &mut Vec<Decision>) {}
 
     fn end(
         &mut self,
         ticket: TicketKey,
         result: TargetResult,
         now_us: u64,
-        _out: &mut Vec<Decision>,
+        _decisions: &mut Vec<Decision>,
     ) {
         if let Some(started_us) = self.running.remove(ticket) {
-            let cut_short = result == TargetResult::Cancelled;
-            self.law.ended(started_us, cut_short, now_us);
+            let was_cancelled = result == TargetResult::Cancelled;
+            self.algorithm.record_end(started_us, was_cancelled, now_us);
         }
     }
 
-    fn tick(&mut self, now_us: u64, _out: &mut Vec<Decision>) {
-        self.law.tick(now_us);
+    fn tick(&mut self, now_us: u64, _decisions: &mut Vec<Decision>) {
+        self.algorithm.tick(now_us);
     }
 
     fn report(&mut self, _report: LoadReport) {}
 
     fn drain(&mut self) {}
 
-    fn refuse_waiting(&mut self, _now_us: u64, _out: &mut Vec<Decision>) {}
+    fn refuse_waiting(&mut self, _now_us: u64, _decisions: &mut Vec<Decision>) {}
 
     fn level(&self, _class: Class, _now_us: u64) -> AdmissionLevel {
         AdmissionLevel::idle()
@@ -249,33 +254,33 @@
     }
 }
 
-/// Goodput over capacity before, in and after the slow spell, and requests
-/// that waited inside the target in it.
-fn measure<L: Law>(name: &str, case: &Case, seed: u64) -> [f64; 4] {
-    let (journal, _) = run::<Limited<L>>(case.scenario(seed));
-    let share = |journal: &Journal, from_s: u64, until_s: u64, capacity: f64| {
-        let whole = journal.whole_in(from_s, until_s, |_, _| true);
-        f64::from(whole) / (until_s - from_s) as f64 / capacity
+/// Goodput over capacity before, during and after the slowdown, and mean number of requests queued
+/// inside the target late in the slowdown.
+fn measure<L: LimitAlgorithm>(name: &str, case: &Case, seed: u64) -> [f64; 4] {
+    let (recorder, _) = run::<LimitOnly<L>>(case.scenario(seed));
+    let goodput_ratio = |recorder: &Recorder, from_s: u64, until_s: u64, capacity_per_s: f64| {
+        let completed_count = recorder.completed_in(from_s, until_s, |_, _| true);
+        f64::from(completed_count) / (until_s - from_s) as f64 / capacity_per_s
     };
-    let capacity = case.capacity_per_s();
-    let figures = [
-        share(&journal, 5, 10, capacity),
-        share(&journal, 10, 40, capacity / SLOWDOWN),
-        share(&journal, 45, 50, capacity),
-        journal.mean_target_waiting(25, 40),
+    let capacity_per_s = case.capacity_per_s();
+    let measured = [
+        goodput_ratio(&recorder, 5, 10, capacity_per_s),
+        goodput_ratio(&recorder, 10, 40, capacity_per_s / SLOWDOWN),
+        goodput_ratio(&recorder, 45, 50, capacity_per_s),
+        recorder.mean_target_waiting(25, 40),
     ];
     println!(
         "{}; {name}; seed {seed}; normal {:.2}, slow {:.2}, after {:.2}, waiting in target {:.1}",
-        case.name, figures[0], figures[1], figures[2], figures[3]
+        case.name, measured[0], measured[1], measured[2], measured[3]
     );
-    figures
+    measured
 }
 
-/// A saturated target becomes five times slower. A limit that takes this for
-/// waiting leaves most slots idle; one that believes in the announced slots
-/// lets requests wait in the target, out of reach of priorities.
+/// A saturated target becomes five times slower. A limit that mistakes this for queuing leaves most
+/// slots idle; a limit of the announced slots lets requests queue inside the target, beyond the
+/// reach of priorities.
 #[test]
-fn the_limit_keeps_slots_busy_and_the_targets_queue_short() {
+fn the_limit_keeps_slots_busy_and_the_target_queue_short() {
     for case in CASES {
         for seed in 1..=3 {
             if seed == 1 {
@@ -287,39 +292,38 @@
             assert!(normal >= 0.85, "{}: normal {normal}", case.name);
             assert!(slow >= 0.85, "{}: slow {slow}", case.name);
             assert!(after >= 0.85, "{}: after {after}", case.name);
-            let most = case.real_slots as f64 * 0.5;
-            assert!(waiting <= most, "{}: {waiting}", case.name);
+            let max_waiting = case.real_slots as f64 * 0.5;
+            assert!(waiting <= max_waiting, "{}: {waiting}", case.name);
         }
     }
 }
 
-/// A target's calls become ten times slower, and its requests with them, or it
-/// sheds some itself. Its own slots are as many as before. A limit that follows
-/// latency down refuses work at a service that has room, for seconds after the
-/// deeper one has recovered.
+/// The calls of a target become ten times slower, and its requests with them, or it sheds some
+/// itself, with as many slots as before. A limit that followed latency would refuse requests at a
+/// service with free slots, for seconds after the downstream service has recovered.
 #[test]
-fn exact_slots_are_the_limit_whatever_latency_says() {
+fn exact_slots_are_the_limit_at_any_latency() {
     let exact = TargetSize {
         slot_count: 197,
         connection_count: 1282,
         is_exact: true,
     };
     let mut limit = ConcurrencyLimit::new(exact);
-    // From the first request on, without slow start.
+    // There is no slow start.
     assert_eq!(limit.count(), 197);
     let mut now_us = 0;
     for step in 0..4000_u64 {
         now_us = step * 5000;
         let latency_us = if step < 2000 { 50_000 } else { 500_000 };
-        limit.started(197);
-        limit.ended(now_us.saturating_sub(latency_us), step % 3 == 0, now_us);
+        limit.record_start(197);
+        limit.record_end(now_us.saturating_sub(latency_us), step % 3 == 0, now_us);
         if step % 10 == 0 {
-            limit.shed();
+            limit.record_shed();
         }
         limit.tick(now_us);
         assert_eq!(limit.count(), 197, "after {now_us} us");
     }
-    // It follows the target's own word alone.
+    // Only an announcement changes the limit.
     let smaller = TargetSize {
         slot_count: 100,
         ..exact
--- a/tests/admission_overload.rs
+++ b/tests/admission_overload.rs
@@ -1,9 +1,9 @@
-//! Admission against a model of a target that slows down or misleads.
+//! Admission with a simulated target that slows down or reports wrong sizes or loads.
 
 mod admission_support;
 
 use {
-    admission_support::{Journal, Report, Scenario, Stream, run},
+    admission_support::{Recorder, Report, Scenario, Stream, run},
     dogwoodbridge::{
         admission::{Adaptive, AdmissionPolicy, AdmitAll, StaticLimit},
         model::Class,
@@ -24,9 +24,8 @@
     }
 }
 
-/// A target that becomes five times slower for 30 s while lower classes
-/// triple their demand.
-fn slow_spell(seed: u64) -> Scenario {
+/// A target that becomes five times slower for 30 s while the rate of lower classes triples.
+fn slowdown_scenario(seed: u64) -> Scenario {
     Scenario {
         real_slots: SLOT_COUNT,
         announced_slots: SLOT_COUNT as u32,
@@ -47,62 +46,63 @@
     }
 }
 
-fn any(_class: Class, _workspace: u16) -> bool {
+fn every_stream(_class: Class, _workspace: u16) -> bool {
     true
 }
 
-fn goodput_per_s(journal: &Journal, from_s: u64, until_s: u64) -> f64 {
-    f64::from(journal.whole_in(from_s, until_s, any)) / (until_s - from_s) as f64
+fn goodput_per_s(recorder: &Recorder, from_s: u64, until_s: u64) -> f64 {
+    f64::from(recorder.completed_in(from_s, until_s, every_stream)) / (until_s - from_s) as f64
 }
 
-/// Seconds after the spell until a second reaches 95 % of normal goodput.
-fn recovery_s(journal: &Journal, scenario: &Scenario) -> Option<u64> {
-    let normal_per_s = goodput_per_s(journal, 2, scenario.slow_from_s);
+/// Seconds from the end of the slowdown until the goodput of the next 3 s is at least 95 % of
+/// normal.
+fn recovery_s(recorder: &Recorder, scenario: &Scenario) -> Option<u64> {
+    let normal_per_s = goodput_per_s(recorder, 2, scenario.slow_from_s);
     (scenario.slow_until_s..scenario.until_s - 3)
-        .find(|second| goodput_per_s(journal, *second, second + 3) >= normal_per_s * 0.95)
+        .find(|second| goodput_per_s(recorder, *second, second + 3) >= normal_per_s * 0.95)
         .map(|second| second - scenario.slow_until_s)
 }
 
-fn critical_share(journal: &Journal, from_s: u64, until_s: u64) -> f64 {
+fn critical_share(recorder: &Recorder, from_s: u64, until_s: u64) -> f64 {
     let is_critical = |class, _| class == Class::Critical;
-    f64::from(journal.whole_in(from_s, until_s, is_critical))
-        / f64::from(journal.offered_in(from_s, until_s, is_critical))
+    f64::from(recorder.completed_in(from_s, until_s, is_critical))
+        / f64::from(recorder.offered_in(from_s, until_s, is_critical))
 }
 
-fn print_row<P: AdmissionPolicy>(name: &str, scenario: &Scenario) -> Journal {
-    let (journal, _) = run::<P>(scenario.clone());
+fn run_and_print<P: AdmissionPolicy>(name: &str, scenario: &Scenario) -> Recorder {
+    let (recorder, _) = run::<P>(scenario.clone());
     println!(
         "{name}: seed {} slow goodput {:.1}/s critical {:.4} recovery {:?} s running {:.1} target queue {:.1}",
         scenario.seed,
-        goodput_per_s(&journal, scenario.slow_from_s, scenario.slow_until_s),
-        critical_share(&journal, scenario.slow_from_s, scenario.slow_until_s),
-        recovery_s(&journal, scenario),
-        journal.mean_running(scenario.slow_from_s + 2, scenario.slow_until_s),
-        journal.mean_target_waiting(scenario.slow_from_s + 2, scenario.slow_until_s),
+        goodput_per_s(&recorder, scenario.slow_from_s, scenario.slow_until_s),
+        critical_share(&recorder, scenario.slow_from_s, scenario.slow_until_s),
+        recovery_s(&recorder, scenario),
+        recorder.mean_running(scenario.slow_from_s + 2, scenario.slow_until_s),
+        recorder.mean_target_waiting(scenario.slow_from_s + 2, scenario.slow_until_s),
     );
-    journal
+    recorder
 }
 
-/// The target's own dependency becomes five times slower while demand triples.
-/// A limit that follows latency alone falls to its minimum, and users see far
-/// fewer answers than the slow service could give, for longer than it is slow.
+/// A dependency of the target becomes five times slower while demand triples. A limit that only
+/// follows latency falls to its minimum: goodput is far below the capacity of the slow service and
+/// stays low after the slowdown has ended.
 #[test]
 fn a_slower_service_keeps_its_goodput_and_recovers() {
     for seed in 1..=20 {
-        let scenario = slow_spell(seed);
-        let journal = print_row::<Adaptive>("adaptive", &scenario);
-        print_row::<StaticLimit>("static", &scenario);
-        print_row::<AdmitAll>("admit all", &scenario);
-        let slowed_per_s = CAPACITY_PER_S / scenario.slowdown;
-        let goodput = goodput_per_s(&journal, scenario.slow_from_s, scenario.slow_until_s);
+        let scenario = slowdown_scenario(seed);
+        let recorder = run_and_print::<Adaptive>("adaptive", &scenario);
+        run_and_print::<StaticLimit>("static", &scenario);
+        run_and_print::<AdmitAll>("admit all", &scenario);
+        let slow_capacity_per_s = CAPACITY_PER_S / scenario.slowdown;
+        let goodput = goodput_per_s(&recorder, scenario.slow_from_s, scenario.slow_until_s);
         assert!(
-            goodput >= slowed_per_s * 0.85,
-            "seed {seed}: {goodput} of {slowed_per_s}"
+            goodput >= slow_capacity_per_s * 0.85,
+            "seed {seed}: {goodput} of {slow_capacity_per_s}"
         );
-        let critical = critical_share(&journal, scenario.slow_from_s, scenario.slow_until_s);
-        // Of exponential service times of 250 ms, 1.8 % exceed the deadline.
+        let critical = critical_share(&recorder, scenario.slow_from_s, scenario.slow_until_s);
+        // With exponential service times of mean 250 ms, 1.8 % exceed the deadline.
         assert!(critical >= 0.95, "seed {seed}: critical {critical}");
-        let recovery = recovery_s(&journal, &scenario);
+        let recovery = recovery_s(&recorder, &scenario);
         assert!(
             recovery.is_some_and(|seconds| seconds <= 5),
             "seed {seed}: {recovery:?}"
@@ -110,61 +110,61 @@
     }
 }
 
-struct LieCase {
+struct OverstatedSlots {
     name: &'static str,
     announced_slots: u32,
     slowdown: f64,
-    /// Second from which the limit must have settled; the spell begins at 10.
-    settled_from_s: u64,
-    /// Most that may wait inside the target then, over its real slots.
-    waiting_ratio: f64,
+    /// Second from which the limit must have converged; the slowdown starts at 10.
+    converged_from_s: u64,
+    /// Largest number of requests queued inside the target from then on, over its real slots.
+    max_waiting_ratio: f64,
 }
 
-const LIES: &[LieCase] = &[
-    LieCase {
+const OVERSTATED_SLOTS: &[OverstatedSlots] = &[
+    OverstatedSlots {
         name: "twice the slots",
         announced_slots: 40,
         slowdown: 1.0,
-        settled_from_s: 15,
-        waiting_ratio: 0.5,
+        converged_from_s: 15,
+        max_waiting_ratio: 0.5,
     },
-    LieCase {
+    OverstatedSlots {
         name: "four times the slots",
         announced_slots: 80,
         slowdown: 1.0,
-        settled_from_s: 15,
-        waiting_ratio: 0.5,
+        converged_from_s: 15,
+        max_waiting_ratio: 0.5,
     },
-    LieCase {
+    OverstatedSlots {
         name: "four times the slots, and slow",
         announced_slots: 80,
         slowdown: 5.0,
-        // Each trial lasts over a second while requests take one.
-        settled_from_s: 25,
-        waiting_ratio: 1.0,
+        // Each trial lasts more than a second while a request takes one second.
+        converged_from_s: 25,
+        max_waiting_ratio: 1.0,
     },
 ];
 
-/// A target announces more slots than it has. What is sent beyond the real
-/// ones waits inside it, where an order can't overtake browsing: users see
-/// orders that take as long as everything else.
+/// A target announces more slots than it has. Requests in excess of the real slots are queued
+/// inside the target, where critical requests cannot overtake browse requests and become as slow
+/// as these.
 #[test]
-fn too_many_announced_slots_do_not_fill_the_targets_own_queue() {
-    for case in LIES {
+fn overstated_slots_do_not_fill_the_target_queue() {
+    for case in OVERSTATED_SLOTS {
         for seed in 1..=10 {
             let scenario = Scenario {
                 announced_slots: case.announced_slots,
                 slowdown: case.slowdown,
-                ..slow_spell(seed)
+                ..slowdown_scenario(seed)
             };
-            let journal = print_row::<Adaptive>(case.name, &scenario);
-            print_row::<StaticLimit>(case.name, &scenario);
-            let capacity = CAPACITY_PER_S / case.slowdown;
-            let goodput = goodput_per_s(&journal, case.settled_from_s, 40);
-            assert!(goodput >= capacity * 0.85, "{}: {goodput}", case.name);
-            let waiting = journal.mean_target_waiting(case.settled_from_s, 40);
+            let recorder = run_and_print::<Adaptive>(case.name, &scenario);
+            run_and_print::<StaticLimit>(case.name, &scenario);
+            let capacity_per_s = CAPACITY_PER_S / case.slowdown;
+            let goodput = goodput_per_s(&recorder, case.converged_from_s, 40);
+            assert!(goodput >= capacity_per_s * 0.85, "{}: {goodput}", case.name);
+            let waiting = recorder.mean_target_waiting(case.converged_from_s, 40);
             assert!(
-                waiting <= SLOT_COUNT as f64 * case.waiting_ratio,
+                waiting <= SLOT_COUNT as f64 * case.max_waiting_ratio,
                 "{}: {waiting}",
                 case.name
             );
@@ -172,36 +172,39 @@
     }
 }
 
-/// A target's load report is stuck at idle or at busy. Whoever believed it
-/// would flood the target or starve it.
+/// The load report of a target is stuck at idle or at busy. Trusting it would overload or starve
+/// the target.
 #[test]
-fn a_lying_load_report_does_not_mislead() {
+fn a_wrong_load_report_does_not_reduce_goodput() {
     for seed in 1..=10 {
-        let (truth, _) = run::<Adaptive>(slow_spell(seed));
+        let (without_reports, _) = run::<Adaptive>(slowdown_scenario(seed));
         for busy_ratio in [0.0, 1.0] {
             let scenario = Scenario {
                 report: Report::Always(busy_ratio),
-                ..slow_spell(seed)
+                ..slowdown_scenario(seed)
             };
-            let (journal, _) = run::<Adaptive>(scenario.clone());
+            let (recorder, _) = run::<Adaptive>(scenario.clone());
             for (from_s, until_s) in [(2, 10), (10, 40), (45, 60)] {
-                let without = goodput_per_s(&truth, from_s, until_s);
-                let with = goodput_per_s(&journal, from_s, until_s);
+                let without_per_s = goodput_per_s(&without_reports, from_s, until_s);
+                let with_per_s = goodput_per_s(&recorder, from_s, until_s);
                 println!(
-                    "report {busy_ratio} seed {seed} {from_s}-{until_s} s: {with:.1}/s, without {without:.1}/s"
+                    "report {busy_ratio} seed {seed} {from_s}-{until_s} s: {with_per_s:.1}/s, without {without_per_s:.1}/s"
+                );
+                assert!(
+                    with_per_s >= without_per_s * 0.95,
+                    "{busy_ratio}: {with_per_s} {without_per_s}"
                 );
-                assert!(with >= without * 0.95, "{busy_ratio}: {with} {without}");
             }
         }
     }
 }
 
-/// One workspace sends six times the others' rate. Without fairness inside
-/// the class the others see most of their requests refused.
+/// One workspace sends more than six times the rate of each other workspace. Without fairness
+/// within the class, most requests of the others would be refused.
 #[test]
-fn one_greedy_workspace_does_not_displace_the_others() {
+fn one_busy_workspace_does_not_displace_the_others() {
     for seed in 1..=10 {
-        let mut scenario = slow_spell(seed);
+        let mut scenario = slowdown_scenario(seed);
         scenario.slowdown = 1.0;
         scenario.streams = vec![
             stream(Class::Browse, 0, 600.0, 1.0),
@@ -209,47 +212,49 @@
             stream(Class::Browse, 2, 90.0, 1.0),
             stream(Class::Browse, 3, 90.0, 1.0),
         ];
-        for (name, journal) in [
+        for (name, recorder) in [
             ("adaptive", run::<Adaptive>(scenario.clone()).0),
             ("static", run::<StaticLimit>(scenario.clone()).0),
         ] {
-            let worst = (1..=3)
+            let worst_served_ratio = (1..=3)
                 .map(|workspace| {
-                    let is_own = |_, other| other == workspace;
-                    f64::from(journal.whole_in(2, 60, is_own))
-                        / f64::from(journal.offered_in(2, 60, is_own))
+                    let is_own = |_, other_workspace| other_workspace == workspace;
+                    f64::from(recorder.completed_in(2, 60, is_own))
+                        / f64::from(recorder.offered_in(2, 60, is_own))
                 })
                 .fold(f64::MAX, f64::min);
             println!(
-                "{name}: seed {seed} worst-served workspace {worst:.3}, goodput {:.1}/s, running {:.1}",
-                goodput_per_s(&journal, 2, 60),
-                journal.mean_running(2, 60),
+                "{name}: seed {seed} worst-served workspace {worst_served_ratio:.3}, goodput {:.1}/s, running {:.1}",
+                goodput_per_s(&recorder, 2, 60),
+                recorder.mean_running(2, 60),
             );
             if name == "adaptive" {
-                assert!(worst >= 0.97, "{worst}");
+                assert!(worst_served_ratio >= 0.97, "{worst_served_ratio}");
             }
         }
     }
 }
 
-/// As the slow spell, and clients send what was refused or timed out again
-/// after 10 ms, three times, whatever they are told. Were the limit or the
-/// estimates misled by the extra arrivals, users would see the overload
-/// outlast its cause.
+/// As in the slowdown above, and clients retry refused and timed-out requests three times after
+/// 10 ms, ignoring the retry time. If the extra arrivals distorted the limit or the estimates, the
+/// overload would outlast its cause.
 #[test]
-fn clients_that_retry_hard_do_not_make_the_overload_last() {
+fn aggressive_client_retries_do_not_prolong_the_overload() {
     for seed in 1..=10 {
         let scenario = Scenario {
             client_retry_count: 3,
-            ..slow_spell(seed)
+            ..slowdown_scenario(seed)
         };
-        let journal = print_row::<Adaptive>("adaptive, retries", &scenario);
-        print_row::<StaticLimit>("static, retries", &scenario);
-        print_row::<AdmitAll>("admit all, retries", &scenario);
-        let slowed_per_s = CAPACITY_PER_S / scenario.slowdown;
-        let goodput = goodput_per_s(&journal, scenario.slow_from_s, scenario.slow_until_s);
-        assert!(goodput >= slowed_per_s * 0.85, "seed {seed}: {goodput}");
-        let recovery = recovery_s(&journal, &scenario);
+        let recorder = run_and_print::<Adaptive>("adaptive, retries", &scenario);
+        run_and_print::<StaticLimit>("static, retries", &scenario);
+        run_and_print::<AdmitAll>("admit all, retries", &scenario);
+        let slow_capacity_per_s = CAPACITY_PER_S / scenario.slowdown;
+        let goodput = goodput_per_s(&recorder, scenario.slow_from_s, scenario.slow_until_s);
+        assert!(
+            goodput >= slow_capacity_per_s * 0.85,
+            "seed {seed}: {goodput}"
+        );
+        let recovery = recovery_s(&recorder, &scenario);
         assert!(
             recovery.is_some_and(|seconds| seconds <= 5),
             "seed {seed}: {recovery:?}"
--- a/tests/admission_properties.rs
+++ b/tests/admission_properties.rs
@@ -1,4 +1,4 @@
-//! What holds for admission whatever arrives, ends or is withdrawn.
+//! Invariants of admission under random arrivals, ends and withdrawals.
 
 #[path = "admission_support/generated.rs"]
 mod generated;
@@ -20,7 +20,8 @@
     connection_count: 80,
     is_exact: false,
 };
-/// Operations are bytes: what to do, with what, after how long.
+/// One operation: its kind, a choice of its subject, and the gap since the previous operation, in
+/// units of 200 us.
 type Step = (u8, u8, u8);
 
 const STEP_COUNT: usize = 200;
@@ -32,11 +33,11 @@
     Running(Arrival),
 }
 
-/// Carries decisions out and checks each of them.
+/// Executes the decisions of a policy and checks each of them.
 struct Harness<P> {
     policy: P,
     tickets: HashMap<TicketKey, State>,
-    order: Vec<TicketKey>,
+    arrival_order: Vec<TicketKey>,
     decisions: Vec<Decision>,
     now_us: u64,
     is_strict: bool,
@@ -48,7 +49,7 @@
         Self {
             policy: P::new(SIZE),
             tickets: HashMap::new(),
-            order: Vec::new(),
+            arrival_order: Vec::new(),
             decisions: Vec::new(),
             now_us: 0,
             is_strict,
@@ -80,15 +81,15 @@
             self.tickets
                 .insert(ticket, State::Waiting(arrival))
                 .is_none(),
-            "a key is given out once"
+            "a ticket key is issued only once"
         );
-        self.order.push(ticket);
+        self.arrival_order.push(ticket);
         self.decisions = decisions;
-        self.carry_out();
+        self.execute_decisions();
     }
 
     fn end(&mut self, choice: u8) {
-        let running = self.in_state(|state| matches!(state, State::Running(_)));
+        let running = self.tickets_in_state(|state| matches!(state, State::Running(_)));
         let Some(ticket) = pick(&running, choice) else {
             return;
         };
@@ -101,20 +102,20 @@
         self.tickets.remove(&ticket);
         self.policy
             .end(ticket, result, self.now_us, &mut self.decisions);
-        self.carry_out();
-        // Ending twice changes nothing.
+        self.execute_decisions();
+        // A second end has no effect.
         self.policy
             .end(ticket, result, self.now_us, &mut self.decisions);
-        self.carry_out();
+        self.execute_decisions();
     }
 
     fn withdraw(&mut self, choice: u8) {
-        let waiting = self.in_state(|state| matches!(state, State::Waiting(_)));
+        let waiting = self.tickets_in_state(|state| matches!(state, State::Waiting(_)));
         if let Some(ticket) = pick(&waiting, choice) {
             self.tickets.remove(&ticket);
             self.policy
                 .withdraw(ticket, self.now_us, &mut self.decisions);
-            self.carry_out();
+            self.execute_decisions();
         }
     }
 
@@ -124,25 +125,25 @@
             received_us: self.now_us,
         });
         self.policy.tick(self.now_us, &mut self.decisions);
-        self.carry_out();
+        self.execute_decisions();
     }
 
-    fn in_state(&self, wanted: impl Fn(State) -> bool) -> Vec<TicketKey> {
-        self.order
+    fn tickets_in_state(&self, filter: impl Fn(State) -> bool) -> Vec<TicketKey> {
+        self.arrival_order
             .iter()
             .copied()
-            .filter(|ticket| self.tickets.get(ticket).is_some_and(|state| wanted(*state)))
+            .filter(|ticket| self.tickets.get(ticket).is_some_and(|state| filter(*state)))
             .collect()
     }
 
-    /// Each decision must be over a request that waits; browsing must not
-    /// start in front of a critical request that waits.
-    fn carry_out(&mut self) {
+    /// Each decision must be about a waiting request. No request may start while one of a higher
+    /// class waits.
+    fn execute_decisions(&mut self) {
         for decision in std::mem::take(&mut self.decisions) {
             match decision {
                 Decision::Start(ticket) => {
                     let Some(State::Waiting(arrival)) = self.tickets.get(&ticket).copied() else {
-                        panic!("{ticket:?} was started but does not wait");
+                        panic!("{ticket:?} was started but was not waiting");
                     };
                     self.tickets.insert(ticket, State::Running(arrival));
                     self.start_count += 1;
@@ -151,7 +152,7 @@
                 Decision::Refuse(ticket, refusal) => {
                     let state = self.tickets.remove(&ticket);
                     let Some(State::Waiting(arrival)) = state else {
-                        panic!("{ticket:?} was refused in {state:?}");
+                        panic!("{ticket:?} was refused in state {state:?}");
                     };
                     assert_eq!(refusal.outcome, Outcome::NotRun);
                     assert!(refusal.retry_after_ms > 0 || !self.is_strict);
@@ -168,45 +169,55 @@
         let overtaken = self.tickets.values().find(
             |state| matches!(state, State::Waiting(arrival) if arrival.class > started.class),
         );
-        assert_eq!(overtaken, None, "{started:?} started first");
+        assert_eq!(overtaken, None, "{started:?} started before a higher class");
     }
 
-    /// Critical work is never refused for want of room while a slot is free;
-    /// the limit never lies below this one.
+    /// No critical request is refused as overloaded while a slot is free; the limit is never below
+    /// [`MIN_LIMIT`].
     fn check_refusal(&self, refused: Arrival, reason: Reason) {
         if !self.is_strict || refused.class != Class::Critical || reason != Reason::Overloaded {
             return;
         }
         let has_free_slot = self.policy.running_count() < MIN_LIMIT as usize;
-        assert!(!has_free_slot, "critical refused with a free slot");
+        assert!(
+            !has_free_slot,
+            "critical request refused although a slot is free"
+        );
     }
 
     fn check_counts(&self) {
-        let running = self.in_state(|state| matches!(state, State::Running(_)));
-        let waiting = self.in_state(|state| matches!(state, State::Waiting(_)));
+        let running = self.tickets_in_state(|state| matches!(state, State::Running(_)));
+        let waiting = self.tickets_in_state(|state| matches!(state, State::Waiting(_)));
         assert_eq!(
             self.policy.running_count(),
             running.len(),
-            "slots conserved"
+            "a running request was lost or counted twice"
+        );
+        assert_eq!(
+            self.policy.waiting_count(),
+            waiting.len(),
+            "a waiting request was lost or counted twice"
         );
-        assert_eq!(self.policy.waiting_count(), waiting.len(), "none forgotten");
         assert!(running.len() <= SIZE.slot_count as usize);
         if self.is_strict {
-            let lower = running
+            let lower_class_count = running
                 .iter()
                 .filter(|ticket| {
                     !matches!(self.tickets[ticket], State::Running(arrival) if arrival.class == Class::Critical)
                 })
                 .count();
-            assert!(lower < SIZE.slot_count as usize, "the reserve stays free");
+            assert!(
+                lower_class_count < SIZE.slot_count as usize,
+                "lower classes use the reserved slots"
+            );
         }
     }
 
-    /// Everything that waits is decided in the end and all slots come back.
+    /// Every waiting request is decided in the end, and all slots are released.
     fn finish(&mut self) {
         self.policy.drain();
         self.policy.refuse_waiting(self.now_us, &mut self.decisions);
-        self.carry_out();
+        self.execute_decisions();
         while !self.tickets.is_empty() {
             self.end(0);
         }
@@ -214,7 +225,10 @@
         assert_eq!(self.policy.waiting_count(), 0);
         assert!(self.policy.level(Class::Browse, self.now_us).draining);
         self.arrive(255);
-        assert!(self.tickets.is_empty(), "a draining target takes nothing");
+        assert!(
+            self.tickets.is_empty(),
+            "a draining target accepted a request"
+        );
     }
 }
 
@@ -235,11 +249,14 @@
         start_count += harness.start_count;
     });
     println!("{CASE_COUNT} cases, {start_count} starts");
-    assert!(start_count > CASE_COUNT, "the cases hardly start anything");
+    assert!(
+        start_count > CASE_COUNT,
+        "too few requests started in the generated cases"
+    );
 }
 
 #[test]
-fn adaptive_decides_each_request_once_and_in_order_of_importance() {
+fn adaptive_decides_each_request_once_and_in_order_of_class() {
     check::<Adaptive>(true);
 }
 
--- a/tests/admission_queue.rs
+++ b/tests/admission_queue.rs
@@ -1,4 +1,4 @@
-//! Which requests start, wait or are refused, one situation at a time.
+//! Decisions of the adaptive policy in single situations: start, wait or refuse.
 
 use dogwoodbridge::{
     admission::{
@@ -10,30 +10,31 @@
 
 const SERVICE_US: u64 = 10_000;
 const SLOT_COUNT: u32 = 40;
-const FAR_US: u64 = 60_000_000;
+/// Time to a deadline that no test reaches.
+const FAR_DEADLINE_US: u64 = 60_000_000;
 
 struct Fixture {
     policy: Adaptive,
     decisions: Vec<Decision>,
-    /// Decisions that were looked at for starts.
-    seen_count: usize,
+    /// Number of decisions already checked for starts.
+    checked_count: usize,
     running: Vec<TicketKey>,
     now_us: u64,
 }
 
 impl Fixture {
-    /// A target whose limit has reached its slots.
+    /// A target whose limit has grown to its slots.
     fn settled() -> Self {
         let mut fixture = Self {
             policy: Adaptive::new(size()),
             decisions: Vec::new(),
-            seen_count: 0,
+            checked_count: 0,
             running: Vec::new(),
             now_us: 0,
         };
         for _ in 0..50 {
             for _ in 0..2 * SLOT_COUNT {
-                fixture.arrive(Class::Browse, 0, FAR_US);
+                fixture.arrive(Class::Browse, 0, FAR_DEADLINE_US);
             }
             fixture.finish_all();
         }
@@ -41,10 +42,10 @@
         fixture
     }
 
-    /// Answers, one service time after another, until nothing runs or waits.
+    /// Ends all running requests after each service time until none runs or waits.
     fn finish_all(&mut self) {
         while self.policy.running_count() + self.policy.waiting_count() > 0 {
-            self.note_starts();
+            self.record_starts();
             self.now_us += SERVICE_US;
             let running = std::mem::take(&mut self.running);
             self.end_all(&running);
@@ -52,13 +53,13 @@
         }
     }
 
-    fn note_starts(&mut self) {
-        for decision in &self.decisions[self.seen_count..] {
+    fn record_starts(&mut self) {
+        for decision in &self.decisions[self.checked_count..] {
             if let Decision::Start(ticket) = decision {
                 self.running.push(*ticket);
             }
         }
-        self.seen_count = self.decisions.len();
+        self.checked_count = self.decisions.len();
     }
 
     fn arrive(&mut self, class: Class, workspace: u16, remaining_us: u64) -> TicketKey {
@@ -72,7 +73,7 @@
     }
 
     fn start(&mut self, class: Class, workspace: u16) -> Option<TicketKey> {
-        let ticket = self.arrive(class, workspace, FAR_US);
+        let ticket = self.arrive(class, workspace, FAR_DEADLINE_US);
         self.decisions
             .contains(&Decision::Start(ticket))
             .then_some(ticket)
@@ -105,58 +106,63 @@
     }
 }
 
-/// Browsing fills the target. Without slots kept free, an order would wait
-/// for a browsing request to end.
+/// Browse requests fill the target. Without reserved slots, a critical request would wait for a
+/// browse request to end.
 #[test]
-fn browsing_leaves_slots_for_critical_work_as_it_is_needed() {
+fn browse_requests_leave_reserved_slots_for_recent_critical_demand() {
     struct Case {
         name: &'static str,
-        critical_before: u32,
-        kept_free: u32,
+        recent_critical_count: u32,
+        reserved_count: u32,
     }
     for case in [
         Case {
-            name: "no critical work lately: 5 %",
-            critical_before: 0,
-            kept_free: 2,
+            name: "no recent critical requests: 5 %",
+            recent_critical_count: 0,
+            reserved_count: 2,
         },
         Case {
-            name: "a little: one more than that",
-            critical_before: 3,
-            kept_free: 4,
+            name: "few critical requests: one more than these",
+            recent_critical_count: 3,
+            reserved_count: 4,
         },
         Case {
-            name: "a lot: 20 %",
-            critical_before: 30,
-            kept_free: 8,
+            name: "many critical requests: 20 %",
+            recent_critical_count: 30,
+            reserved_count: 8,
         },
     ] {
         let mut fixture = Fixture::settled();
-        let critical: Vec<TicketKey> = (0..case.critical_before)
+        let critical: Vec<TicketKey> = (0..case.recent_critical_count)
             .filter_map(|_| fixture.start(Class::Critical, 1))
             .collect();
-        assert_eq!(critical.len(), case.critical_before as usize);
+        assert_eq!(critical.len(), case.recent_critical_count as usize);
         fixture.end_all(&critical);
         for _ in 0..2 * SLOT_COUNT {
-            fixture.arrive(Class::Browse, 0, FAR_US);
+            fixture.arrive(Class::Browse, 0, FAR_DEADLINE_US);
         }
         let running = fixture.policy.running_count();
         assert_eq!(
             running,
-            (SLOT_COUNT - case.kept_free) as usize,
+            (SLOT_COUNT - case.reserved_count) as usize,
             "{}",
             case.name
         );
-        for _ in 0..case.kept_free {
+        for _ in 0..case.reserved_count {
             assert!(fixture.start(Class::Critical, 1).is_some(), "{}", case.name);
         }
-        let waiting = fixture.arrive(Class::Critical, 1, FAR_US);
-        assert_eq!(fixture.refusal(waiting), None, "{}: it waits", case.name);
+        let waiting = fixture.arrive(Class::Critical, 1, FAR_DEADLINE_US);
+        assert_eq!(
+            fixture.refusal(waiting),
+            None,
+            "{}: the request waits",
+            case.name
+        );
     }
 }
 
 #[test]
-fn hopeless_requests_are_refused_at_once() {
+fn requests_that_cannot_finish_by_their_deadline_are_refused_at_once() {
     struct Case {
         name: &'static str,
         remaining_us: u64,
@@ -164,7 +170,7 @@
     }
     for case in [
         Case {
-            name: "deadline has passed",
+            name: "the deadline has passed",
             remaining_us: 0,
             reason: Some(Reason::TooLate),
         },
@@ -174,7 +180,7 @@
             reason: Some(Reason::TooLate),
         },
         Case {
-            name: "the service time is left",
+            name: "the whole service time is left",
             remaining_us: SERVICE_US,
             reason: None,
         },
@@ -186,8 +192,8 @@
     }
 }
 
-/// The target was very slow and everybody's deadline is shorter than that.
-/// If the estimate stayed, all would be refused though the target is idle.
+/// The target was very slow, and all deadlines are shorter than its service time was. If the
+/// estimate did not decay, all requests would be refused although the target is idle.
 #[test]
 fn an_idle_target_is_tried_again_after_it_was_slow() {
     let mut fixture = Fixture::settled();
@@ -203,30 +209,34 @@
     assert_eq!(fixture.refusal(ticket), None);
 }
 
-/// The queue is full of browsing when orders arrive.
+/// The queue is full of browse requests when critical requests arrive.
 #[test]
-fn a_full_queue_sheds_the_least_important_and_most_over_share() {
+fn a_full_queue_sheds_the_lowest_class_and_the_busiest_workspace() {
     let mut fixture = Fixture::settled();
     for _ in 0..5000 {
-        fixture.arrive(Class::Browse, 0, FAR_US);
+        fixture.arrive(Class::Browse, 0, FAR_DEADLINE_US);
     }
-    let few: Vec<TicketKey> = (0..5)
-        .map(|_| fixture.arrive(Class::Browse, 1, FAR_US))
+    let light_workspace: Vec<TicketKey> = (0..5)
+        .map(|_| fixture.arrive(Class::Browse, 1, FAR_DEADLINE_US))
         .collect();
-    assert!(few.iter().all(|ticket| fixture.refusal(*ticket).is_none()));
+    assert!(
+        light_workspace
+            .iter()
+            .all(|ticket| fixture.refusal(*ticket).is_none())
+    );
     let level = fixture.policy.level(Class::Browse, fixture.now_us);
     assert_eq!(level.lowest_class, Class::Standard);
     let refused_before = fixture.decisions.len();
-    let orders: Vec<TicketKey> = (0..100)
-        .map(|_| fixture.arrive(Class::Critical, 1, FAR_US))
+    let critical_tickets: Vec<TicketKey> = (0..100)
+        .map(|_| fixture.arrive(Class::Critical, 1, FAR_DEADLINE_US))
         .collect();
     assert!(
-        orders
+        critical_tickets
             .iter()
             .all(|ticket| fixture.refusal(*ticket).is_none())
     );
     assert!(fixture.decisions.len() > refused_before + 50);
-    let waits: Vec<u32> = fixture
+    let retry_after_ms: Vec<u32> = fixture
         .decisions
         .iter()
         .filter_map(|decision| match decision {
@@ -234,20 +244,20 @@
             Decision::Start(_) => None,
         })
         .collect();
-    let spread = waits.iter().max().unwrap() - waits.iter().min().unwrap();
+    let spread_ms = retry_after_ms.iter().max().unwrap() - retry_after_ms.iter().min().unwrap();
     assert!(
-        spread >= 50,
-        "callers would come back together: {spread} ms"
+        spread_ms >= 50,
+        "callers would retry at the same time: spread of {spread_ms} ms"
     );
 }
 
-/// Upstream nodes shed a class as long as the level says so. If it stayed up
-/// after the backlog is gone, users would be refused by an idle target.
+/// Upstream nodes shed a class while the level excludes it. If the level stayed high after the
+/// queue is empty, callers of an idle target would be refused.
 #[test]
 fn the_level_falls_again_when_the_queue_empties() {
     let mut fixture = Fixture::settled();
     for _ in 0..5000 {
-        fixture.arrive(Class::Standard, 0, FAR_US);
+        fixture.arrive(Class::Standard, 0, FAR_DEADLINE_US);
     }
     let level = fixture.policy.level(Class::Browse, fixture.now_us);
     assert_eq!(level.lowest_class, Class::Critical);
@@ -261,9 +271,9 @@
     assert_eq!(level.lowest_class, Class::Browse);
 }
 
-/// The target restarted and is cold: full load at once would time out.
+/// The target has restarted and is cold. At full load, its requests would time out.
 #[test]
-fn a_restart_begins_with_few_requests() {
+fn the_limit_is_low_after_a_restart() {
     let mut fixture = Fixture::settled();
     fixture.policy.set_size(size(), true, fixture.now_us);
     assert_eq!(fixture.policy.limit_count(), SLOT_COUNT / 8);
@@ -271,57 +281,60 @@
     assert_eq!(fixture.policy.limit_count(), SLOT_COUNT / 8);
 }
 
-/// A limit under steady latency, one window after another.
-struct Windows {
+/// Runs a limit for several windows at constant latency.
+struct LimitFixture {
     limit: ConcurrencyLimit,
     now_us: u64,
 }
 
-impl Windows {
+impl LimitFixture {
     fn run(&mut self, count: usize, shed_count: usize, report_age_us: Option<u64>) {
         for _ in 0..count {
             if let Some(age_us) = report_age_us {
-                self.limit.report(LoadReport {
+                self.limit.record_load_report(LoadReport {
                     busy_ratio: 1.0,
                     received_us: self.now_us.saturating_sub(age_us),
                 });
             }
             for _ in 0..shed_count {
-                self.limit.shed();
+                self.limit.record_shed();
             }
             let started_us = self.now_us;
             self.now_us += SERVICE_US;
             for _ in 0..4 * SLOT_COUNT {
-                self.limit.started(SLOT_COUNT);
-                self.limit.ended(started_us, false, self.now_us);
+                self.limit.record_start(SLOT_COUNT);
+                self.limit.record_end(started_us, false, self.now_us);
             }
         }
     }
 }
 
-/// A target that was found shedding reports that it is busy, long ago or now,
-/// truly or not. Were growth to stop for that, it would stay at a fraction of
-/// what it can do.
+/// A target that shed requests has reported that it is busy, recently or long ago, correctly or
+/// not. If growth stopped because of the report, the limit would stay far below the capacity of
+/// the target.
 #[test]
-fn a_busy_report_slows_growth_only_while_it_is_fresh() {
-    let grown = |report_age_us: Option<u64>| {
-        let mut windows = Windows {
+fn only_a_fresh_busy_report_slows_growth() {
+    let limit_after_growth = |report_age_us: Option<u64>| {
+        let mut fixture = LimitFixture {
             limit: ConcurrencyLimit::new(size()),
             now_us: 2 * REPORT_AGE_LIMIT_US,
         };
-        windows.run(10, 0, None);
-        assert_eq!(windows.limit.count(), SLOT_COUNT);
-        windows.run(20, 100, None);
-        assert_eq!(windows.limit.count(), 4);
-        windows.run(8, 0, report_age_us);
-        let after_eight = windows.limit.count();
-        windows.run(100, 0, report_age_us);
-        assert_eq!(windows.limit.count(), SLOT_COUNT, "never stopped");
-        after_eight
+        fixture.run(10, 0, None);
+        assert_eq!(fixture.limit.count(), SLOT_COUNT);
+        fixture.run(20, 100, None);
+        assert_eq!(fixture.limit.count(), 4);
+        fixture.run(8, 0, report_age_us);
+        let limit_after_eight_windows = fixture.limit.count();
+        fixture.run(100, 0, report_age_us);
+        assert_eq!(fixture.limit.count(), SLOT_COUNT, "growth must not stop");
+        limit_after_eight_windows
     };
-    let without = grown(None);
-    let stale = grown(Some(REPORT_AGE_LIMIT_US + SERVICE_US + 1));
-    let fresh = grown(Some(0));
-    assert_eq!(stale, without);
-    assert!(fresh > 4 && fresh < without, "{fresh} {without}");
+    let unreported_limit = limit_after_growth(None);
+    let stale_limit = limit_after_growth(Some(REPORT_AGE_LIMIT_US + SERVICE_US + 1));
+    let fresh_limit = limit_after_growth(Some(0));
+    assert_eq!(stale_limit, unreported_limit);
+    assert!(
+        fresh_limit > 4 && fresh_limit < unreported_limit,
+        "{fresh_limit} {unreported_limit}"
+    );
 }
--- a/tests/admission_support/mod.rs
+++ b/tests/admission_support/mod.rs
@@ -1,10 +1,10 @@
 //! A discrete-event model of a target behind an admission policy.
 //!
-//! The target works on as many requests as it has slots, queues the rest in
-//! order of arrival and honours cancellation. Service times are exponentially
-//! distributed. Time is simulated; seeds are fixed.
+//! The target processes as many requests as it has slots, queues the rest in order of arrival and
+//! honours cancellation. Service times are exponentially distributed. Time is simulated; seeds are
+//! fixed.
 
-// Each test program uses its own part of the model.
+// Each test program uses only part of the model.
 #![allow(dead_code)]
 
 use {
@@ -23,8 +23,8 @@
 
 pub const SECOND_US: u64 = 1_000_000;
 const TICK_US: u64 = 10_000;
-/// Pause of a client before it sends again.
-const CLIENT_PAUSE_US: u64 = 10_000;
+/// Delay before a client retries.
+const CLIENT_RETRY_DELAY_US: u64 = 10_000;
 
 /// Requests of one workspace and class.
 #[derive(Debug, Clone, Copy)]
@@ -32,50 +32,56 @@
     pub class: Class,
     pub workspace: u16,
     pub rate_per_s: f64,
-    /// Factor on the rate while the scenario's slow spell lasts.
+    /// Factor on the rate during the slowdown of the scenario.
     pub surge: f64,
     pub deadline_ms: u64,
 }
 
-/// What the target tells about itself.
+/// Load reports of the target.
 #[derive(Debug, Clone, Copy)]
 pub enum Report {
     None,
     Always(f64),
 }
 
+/// Target, load and duration of one simulation.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub real_slots: usize,
     pub announced_slots: u32,
     pub service_ms: f64,
-    /// Factor on the service time during the slow spell.
+    /// Factor on the service time during the slowdown.
     pub slowdown: f64,
     pub slow_from_s: u64,
     pub slow_until_s: u64,
     pub until_s: u64,
     pub streams: Vec<Stream>,
     pub report: Report,
-    /// Times that a client sends again what was refused or timed out, after a
-    /// short pause and whatever it is told.
+    /// Retries of a client after a refusal or timeout, with a short delay and regardless of the
+    /// retry time it was sent.
     pub client_retry_count: u8,
     pub seed: u64,
 }
 
-/// Requests by second of arrival, or of the answer for those answered.
+/// Counts requests by second of arrival, and completed requests by second of completion.
 #[derive(Debug, Default)]
-pub struct Journal {
+pub struct Recorder {
     pub offered: HashMap<(u64, Class, u16), u32>,
-    pub whole: HashMap<(u64, Class, u16), u32>,
-    /// Requests queued inside the target, sampled each tick.
+    pub completed: HashMap<(u64, Class, u16), u32>,
+    /// Number of requests queued inside the target, sampled on every tick.
     pub target_waiting: Vec<(u64, usize)>,
     pub running: Vec<(u64, usize)>,
     pub decision_count: u64,
 }
 
-impl Journal {
-    pub fn whole_in(&self, from_s: u64, until_s: u64, filter: impl Fn(Class, u16) -> bool) -> u32 {
-        count(&self.whole, from_s, until_s, filter)
+impl Recorder {
+    pub fn completed_in(
+        &self,
+        from_s: u64,
+        until_s: u64,
+        filter: impl Fn(Class, u16) -> bool,
+    ) -> u32 {
+        count(&self.completed, from_s, until_s, filter)
     }
 
     pub fn offered_in(
@@ -113,19 +119,19 @@
 
 fn mean(samples: &[(u64, usize)], from_s: u64, until_s: u64) -> f64 {
     let range = from_s * SECOND_US..until_s * SECOND_US;
-    let chosen: Vec<usize> = samples
+    let values: Vec<usize> = samples
         .iter()
-        .filter(|(at_us, _)| range.contains(at_us))
+        .filter(|(time_us, _)| range.contains(time_us))
         .map(|(_, value)| *value)
         .collect();
-    chosen.iter().sum::<usize>() as f64 / chosen.len().max(1) as f64
+    values.iter().sum::<usize>() as f64 / values.len().max(1) as f64
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    /// A client sends again; with the retries that it has left.
-    Again(usize, u8),
+    /// A client retries, with this number of retries left.
+    Retry(usize, u8),
     Finish(usize),
     Expire(usize),
     Tick,
@@ -136,7 +142,7 @@
     Waiting,
     InTargetQueue,
     InSlot,
-    Over,
+    Finished,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -149,7 +155,7 @@
     state: State,
 }
 
-/// The model while it runs.
+/// State of a running simulation.
 pub struct Simulation<P> {
     scenario: Scenario,
     policy: P,
@@ -157,15 +163,15 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     requests: Vec<Request>,
-    by_ticket: HashMap<TicketKey, usize>,
+    index_by_ticket: HashMap<TicketKey, usize>,
     target_queue: VecDeque<usize>,
     busy_slots: usize,
-    journal: Journal,
+    recorder: Recorder,
     decisions: Vec<Decision>,
 }
 
-/// Runs the scenario with this policy.
-pub fn run<P: AdmissionPolicy>(scenario: Scenario) -> (Journal, P) {
+/// Runs the scenario with policy `P`.
+pub fn run<P: AdmissionPolicy>(scenario: Scenario) -> (Recorder, P) {
     let size = TargetSize {
         slot_count: scenario.announced_slots,
         connection_count: scenario.announced_slots * 10,
@@ -177,15 +183,15 @@
         events: BinaryHeap::new(),
         sequence: 0,
         requests: Vec::new(),
-        by_ticket: HashMap::new(),
+        index_by_ticket: HashMap::new(),
         target_queue: VecDeque::new(),
         busy_slots: 0,
-        journal: Journal::default(),
+        recorder: Recorder::default(),
         decisions: Vec::new(),
         scenario,
     };
     simulation.run();
-    (simulation.journal, simulation.policy)
+    (simulation.recorder, simulation.policy)
 }
 
 impl<P: AdmissionPolicy> Simulation<P> {
@@ -201,18 +207,18 @@
             }
             match event {
                 Event::Arrive(stream) => self.arrive(stream, now_us),
-                Event::Again(stream, left) => self.send(stream, left, now_us),
+                Event::Retry(stream, retries_left) => self.send(stream, retries_left, now_us),
                 Event::Finish(request) => self.finish(request, now_us),
                 Event::Expire(request) => self.expire(request, now_us),
                 Event::Tick => self.tick(now_us),
             }
-            self.carry_out(now_us);
+            self.execute_decisions(now_us);
         }
     }
 
-    fn schedule(&mut self, at_us: u64, event: Event) {
+    fn schedule(&mut self, time_us: u64, event: Event) {
         self.sequence += 1;
-        self.events.push(Reverse((at_us, self.sequence, event)));
+        self.events.push(Reverse((time_us, self.sequence, event)));
     }
 
     fn is_slow(&self, now_us: u64) -> bool {
@@ -240,7 +246,7 @@
         } = self.scenario.streams[stream];
         let second = now_us / SECOND_US;
         *self
-            .journal
+            .recorder
             .offered
             .entry((second, class, workspace))
             .or_default() += 1;
@@ -270,33 +276,33 @@
             workspace,
             state: State::Waiting,
         });
-        self.by_ticket.insert(ticket, index);
+        self.index_by_ticket.insert(ticket, index);
         self.schedule(deadline_us, Event::Expire(index));
     }
 
-    fn send_again(&mut self, index: usize, now_us: u64) {
+    fn schedule_retry(&mut self, index: usize, now_us: u64) {
         let request = self.requests[index];
         if request.retries_left > 0 {
-            let again = Event::Again(request.stream, request.retries_left - 1);
-            self.schedule(now_us + CLIENT_PAUSE_US, again);
+            let retry = Event::Retry(request.stream, request.retries_left - 1);
+            self.schedule(now_us + CLIENT_RETRY_DELAY_US, retry);
         }
     }
 
-    fn carry_out(&mut self, now_us: u64) {
+    fn execute_decisions(&mut self, now_us: u64) {
         for decision in std::mem::take(&mut self.decisions) {
-            self.journal.decision_count += 1;
+            self.recorder.decision_count += 1;
             match decision {
                 Decision::Start(ticket) => {
-                    let index = self.by_ticket[&ticket];
+                    let index = self.index_by_ticket[&ticket];
                     assert_eq!(self.requests[index].state, State::Waiting);
                     self.requests[index].state = State::InTargetQueue;
                     self.target_queue.push_back(index);
                 }
                 Decision::Refuse(ticket, _) => {
-                    let index = self.by_ticket[&ticket];
+                    let index = self.index_by_ticket[&ticket];
                     assert_eq!(self.requests[index].state, State::Waiting);
-                    self.requests[index].state = State::Over;
-                    self.send_again(index, now_us);
+                    self.requests[index].state = State::Finished;
+                    self.schedule_retry(index, now_us);
                 }
             }
         }
@@ -328,11 +334,11 @@
         if request.state != State::InSlot {
             return;
         }
-        self.requests[index].state = State::Over;
+        self.requests[index].state = State::Finished;
         self.busy_slots -= 1;
         *self
-            .journal
-            .whole
+            .recorder
+            .completed
             .entry((now_us / SECOND_US, request.class, request.workspace))
             .or_default() += 1;
         self.policy.end(
@@ -346,7 +352,7 @@
     fn expire(&mut self, index: usize, now_us: u64) {
         let request = self.requests[index];
         match request.state {
-            State::Over => return,
+            State::Finished => return,
             State::Waiting => {
                 self.policy
                     .withdraw(request.ticket, now_us, &mut self.decisions);
@@ -363,8 +369,8 @@
                 );
             }
         }
-        self.requests[index].state = State::Over;
-        self.send_again(index, now_us);
+        self.requests[index].state = State::Finished;
+        self.schedule_retry(index, now_us);
     }
 
     fn tick(&mut self, now_us: u64) {
@@ -381,8 +387,8 @@
             .iter()
             .filter(|index| self.requests[**index].state == State::InTargetQueue)
             .count();
-        self.journal.target_waiting.push((now_us, waiting));
-        self.journal
+        self.recorder.target_waiting.push((now_us, waiting));
+        self.recorder
             .running
             .push((now_us, self.policy.running_count()));
     }
--- a/tests/admission_urgent_demand.rs
+++ b/tests/admission_urgent_demand.rs
@@ -1,4 +1,4 @@
-//! Calls of chains that have begun go before long requests that begin here.
+//! Calls of call chains in progress are preferred to slow new browse requests.
 
 use {
     dogwoodbridge::{
@@ -14,16 +14,16 @@
 const SLOT_COUNT: u32 = 19;
 const STEP_US: u64 = 1000;
 const CALL_US: u64 = 55_000;
-const LONG_US: u64 = 880_000;
+const SLOW_US: u64 = 880_000;
 
-/// Which share of requests was served, and how long calls waited on average.
-struct Played {
-    long_ratio: f64,
-    call_wait_us: f64,
+/// Share of slow requests that were served, and mean wait of calls.
+struct Measured {
+    slow_served_ratio: f64,
+    mean_call_wait_us: f64,
 }
 
-/// Plays a target with exact slots under these arrivals for a minute.
-fn play(calls_per_s: f64, long_per_s: f64) -> Played {
+/// Simulates a target with exact slots for a minute at these arrival rates.
+fn simulate(calls_per_s: f64, slow_per_s: f64) -> Measured {
     let size = TargetSize {
         slot_count: SLOT_COUNT,
         connection_count: 4 * SLOT_COUNT,
@@ -32,12 +32,12 @@
     let mut policy = Adaptive::new(size);
     let mut rng = StdRng::seed_from_u64(8);
     let mut decisions = Vec::new();
-    let mut arrived: HashMap<TicketKey, (Class, u64)> = HashMap::new();
+    let mut arrivals_by_ticket: HashMap<TicketKey, (Class, u64)> = HashMap::new();
     let mut running: Vec<(u64, TicketKey)> = Vec::new();
-    let (mut long_count, mut long_served, mut waits_us) = (0_u32, 0_u32, Vec::new());
+    let (mut slow_count, mut slow_served_count, mut waits_us) = (0_u32, 0_u32, Vec::new());
     for step in 0..60_000_u64 {
         let now_us = step * STEP_US;
-        let rates = [(Class::Standard, calls_per_s), (Class::Browse, long_per_s)];
+        let rates = [(Class::Standard, calls_per_s), (Class::Browse, slow_per_s)];
         for (class, per_s) in rates {
             if rng.random::<f64>() < per_s / 1000.0 {
                 let arrival = Arrival {
@@ -46,8 +46,8 @@
                     deadline_us: now_us + 5_000_000,
                 };
                 let ticket = policy.arrive(arrival, now_us, &mut decisions);
-                arrived.insert(ticket, (class, now_us));
-                long_count += u32::from(class == Class::Browse);
+                arrivals_by_ticket.insert(ticket, (class, now_us));
+                slow_count += u32::from(class == Class::Browse);
             }
         }
         let ended: Vec<_> = running
@@ -63,50 +63,62 @@
             let Decision::Start(ticket) = decision else {
                 continue;
             };
-            let (class, since_us) = arrived[&ticket];
-            let length_us = match class {
-                Class::Browse => LONG_US,
+            let (class, arrived_us) = arrivals_by_ticket[&ticket];
+            let run_us = match class {
+                Class::Browse => SLOW_US,
                 _ => CALL_US,
             };
-            running.push((now_us + length_us, ticket));
+            running.push((now_us + run_us, ticket));
             match class {
-                Class::Browse => long_served += 1,
-                _ => waits_us.push((now_us - since_us) as f64),
+                Class::Browse => slow_served_count += 1,
+                _ => waits_us.push((now_us - arrived_us) as f64),
             }
         }
     }
-    Played {
-        long_ratio: f64::from(long_served) / f64::from(long_count),
-        call_wait_us: waits_us.iter().sum::<f64>() / waits_us.len() as f64,
+    Measured {
+        slow_served_ratio: f64::from(slow_served_count) / f64::from(slow_count),
+        mean_call_wait_us: waits_us.iter().sum::<f64>() / waits_us.len() as f64,
     }
 }
 
-// A burst asks for half more than the deepest service has: short calls of chains
-// that hold slots of every service above, and long requests that begin there. A
-// long request takes the slot of sixteen calls; with all slots taken by long ones
-// calls wait, and chains that have done most of their work run out of time.
+// A burst offers half more than the capacity of the deepest service: short calls of call chains
+// that hold slots of every upstream service, and slow new requests. A slow request takes the time
+// of sixteen calls; if slow requests take all slots, calls wait and nearly finished chains miss
+// their deadlines.
 #[test]
-fn calls_hardly_wait_behind_long_requests() {
-    let played = play(240.0, 16.0);
+fn calls_wait_little_for_slow_requests() {
+    let measured = simulate(240.0, 16.0);
     println!(
-        "calls wait {} us, long ones {}",
-        played.call_wait_us, played.long_ratio
+        "mean wait of calls {} us, served share of slow requests {}",
+        measured.mean_call_wait_us, measured.slow_served_ratio
+    );
+    // Each of four sequential calls then loses at most a fifth of the time of one.
+    assert!(
+        measured.mean_call_wait_us < 10_000.0,
+        "{}",
+        measured.mean_call_wait_us
     );
-    // Four calls one after the other then lose a fifth of what one takes.
-    assert!(played.call_wait_us < 10_000.0, "{}", played.call_wait_us);
 }
 
-// The least class is not starved by it: users hold that no kind of request is
-// served less than a quarter as often as others.
+// The lowest class is not starved: no kind of request may be served less than a quarter as often
+// as others.
 #[test]
-fn long_requests_keep_their_part() {
-    let played = play(280.0, 8.0);
-    assert!(played.long_ratio > 0.25, "{}", played.long_ratio);
+fn slow_requests_keep_a_minimum_share() {
+    let measured = simulate(280.0, 8.0);
+    assert!(
+        measured.slow_served_ratio > 0.25,
+        "{}",
+        measured.slow_served_ratio
+    );
 }
 
-// With few calls the long requests have nearly all slots.
+// With few calls, slow requests get nearly all slots.
 #[test]
-fn slots_that_calls_do_not_need_are_used() {
-    let played = play(60.0, 12.0);
-    assert!(played.long_ratio > 0.95, "{}", played.long_ratio);
+fn slow_requests_use_slots_that_calls_do_not_need() {
+    let measured = simulate(60.0, 12.0);
+    assert!(
+        measured.slow_served_ratio > 0.95,
+        "{}",
+        measured.slow_served_ratio
+    );
 }
