--- a/src/model/class.rs
+++ b/src/model/class.rs
@@ -1,30 +1,30 @@
-//! Importance of a request.
+//! Classes of requests by importance.
 
 use std::str::FromStr;
 
-/// Number of classes, for tables indexed by class.
+/// Number of classes, for arrays indexed by class.
 pub const CLASS_COUNT: usize = 3;
 
-/// Importance of a request, from the route that it matches.
+/// Importance of a request, set by the route that it matches.
 ///
-/// Ordered: a greater class is shed later.
+/// Ordered: a higher class is shed later.
 #[derives::key]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Work that can be repeated at leisure; shed first.
+    /// Requests that can be repeated at any time; shed first.
     Browse = 0,
-    /// Interactive reads that someone waits for.
+    /// Interactive reads that a person waits for.
     Standard = 1,
     /// Orders, price changes, sign-offs; shed last, with reserved slots.
     Critical = 2,
 }
 
 impl Class {
-    /// All classes, the first to be shed first.
+    /// All classes, from the first to be shed to the last.
     pub const ALL: [Self; CLASS_COUNT] = [Self::Browse, Self::Standard, Self::Critical];
 
-    /// Place in a table of [`CLASS_COUNT`] rows.
+    /// Index into arrays of [`CLASS_COUNT`] entries.
     #[must_use]
     pub const fn index(self) -> usize {
         self as usize
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Importance of a new request of this class among those of all workspaces,
-    /// where operators ranked its workspace.
+    /// Class of a new request among those of all workspaces, if operators assigned a class to its
+    /// workspace.
     ///
-    /// The workspace goes before the route: no request of a lower workspace is
-    /// preferred to one of a higher, and among equal workspaces the route
-    /// decides, as far as there are classes to tell them apart.
+    /// The class of the workspace takes precedence: no request of a lower workspace is preferred
+    /// to one of a higher. Among equal workspaces the route decides, as far as there are enough
+    /// classes to distinguish them.
     #[must_use]
     pub const fn within(self, workspace: Option<Self>) -> Self {
         match (workspace, self) {
@@ -56,18 +56,18 @@
         }
     }
 
-    /// The class at this place of a table, if there is one.
+    /// The class with this index, if there is one.
     #[must_use]
     pub fn from_index(index: usize) -> Option<Self> {
         Self::ALL.get(index).copied()
     }
 }
 
-/// A class name that is none of the known ones.
+/// A class name that is not known.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("unknown class {name:?}: expected browse, standard or critical")]
 pub struct UnknownClass {
-    /// The name as it was given.
+    /// The unknown name.
     pub name: String,
 }
 
--- a/src/model/context.rs
+++ b/src/model/context.rs
@@ -1,43 +1,42 @@
-//! What travels with a request from node to node.
+//! Context of a request that is passed from node to node.
 
 use {
     super::{Class, RequestId, ServiceKey, WorkspaceKey},
     crate::keys::KeyDigest,
 };
 
-/// Deepest chain of calls that is served; guards against call cycles.
+/// Largest depth of a call chain that is served; guards against call cycles.
 pub const MAX_DEPTH: u8 = 16;
 
-/// What nodes know of a request beyond its HTTP form.
+/// Properties of a request in addition to its HTTP form.
 ///
-/// Set by the ingress and believed only when it comes from a node that holds
-/// the fleet secret.
+/// Set by the ingress and accepted only from nodes that hold the fleet secret.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub struct RequestContext {
-    /// Identifies the caller's original request along the whole chain.
+    /// Identifies the original request of the caller along the whole call chain.
     pub request_id: RequestId,
-    /// Workspace whose key the original request carried.
+    /// Workspace of the tenant key of the original request.
     pub workspace: WorkspaceKey,
-    /// Digest of that key, so that each hop can refuse work that was queued
-    /// before the key was revoked.
+    /// Digest of that key, so that each hop can refuse a request that was queued before the key
+    /// was revoked.
     pub key: KeyDigest,
     /// Service that this hop calls.
     pub service: ServiceKey,
-    /// Importance, from the route of the original request.
+    /// Class set by the route of the original request.
     pub class: Class,
-    /// Time left until the deadline, counted at the sender when it sent.
+    /// Time to the deadline, as measured by the sender when it sent the request.
     pub remaining_us: u64,
-    /// Retries that this hop and its descendants may still spend.
+    /// Retries that this hop and its downstream calls may still use.
     pub retry_allotment: u8,
-    /// Hops above this one; 0 for the caller's own request.
+    /// Number of upstream hops; 0 for the original request of the caller.
     pub depth: u8,
     /// Whether the request may be executed again after an unknown outcome.
     pub repeatable: bool,
 }
 
-/// Whether a request of this depth and key begins a chain of calls: a caller
-/// with a key sent it, not a target.
+/// Whether a request of this depth and key starts a call chain: it was sent by a caller with a
+/// tenant key, not by a target.
 #[must_use]
 pub fn begins_chain(depth: u8, key: KeyDigest) -> bool {
     depth == 0 && key != KeyDigest::NONE
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Types that all parts share.
+//! Types shared by all modules.
 
 mod class;
 mod context;
--- a/src/model/names.rs
+++ b/src/model/names.rs
@@ -1,4 +1,4 @@
-//! Stable keys for names that come from configuration.
+//! Interned names of services, workspaces, zones and regions.
 
 use std::{
     collections::HashMap,
@@ -12,13 +12,13 @@
         pub struct $name(u16);
 
         impl $name {
-            /// The key at this place.
+            /// The key with this index.
             #[must_use]
             pub const fn new(index: u16) -> Self {
                 Self(index)
             }
 
-            /// Place in tables that hold one row per name.
+            /// Index into tables that hold one row per name.
             #[must_use]
             pub const fn index(self) -> usize {
                 self.0 as usize
@@ -38,97 +38,101 @@
 }
 
 name_key! {
-    /// An availability zone, as members name it.
+    /// An availability zone, as named by fleet members.
     ZoneKey
 }
 
 name_key! {
-    /// A region, as members and configuration name it.
+    /// A region, as named by fleet members and configuration.
     RegionKey
 }
 
 #[derive(Debug, Default)]
-struct Table {
-    keys: HashMap<String, u16>,
+struct NameTable {
+    indexes: HashMap<String, u16>,
     names: Vec<String>,
 }
 
-impl Table {
+impl NameTable {
     fn intern(&mut self, name: &str) -> u16 {
-        if let Some(index) = self.keys.get(name) {
+        if let Some(index) = self.indexes.get(name) {
             return *index;
         }
-        let index = u16::try_from(self.names.len()).expect("fewer than 65,536 names");
+        let index = u16::try_from(self.names.len()).expect("a table holds fewer than 65,536 names");
         self.names.push(name.to_owned());
-        self.keys.insert(name.to_owned(), index);
+        self.indexes.insert(name.to_owned(), index);
         index
     }
 }
 
-/// Names of services, workspaces, availability zones and regions and their keys.
+/// Maps names of services, workspaces, availability zones and regions to keys.
 ///
-/// Keys are local to a process and are never reused, so that state keyed by
-/// them survives a change of configuration. Between nodes names travel.
-/// Clones share one table.
+/// Keys are local to a process and never reused, so that state indexed by them stays valid when
+/// the configuration changes. Messages between nodes carry names. Clones share the same tables.
 #[derive(Debug, Clone, Default)]
 pub struct Names {
-    services: Arc<RwLock<Table>>,
-    workspaces: Arc<RwLock<Table>>,
-    zones: Arc<RwLock<Table>>,
-    regions: Arc<RwLock<Table>>,
+    services: Arc<RwLock<NameTable>>,
+    workspaces: Arc<RwLock<NameTable>>,
+    zones: Arc<RwLock<NameTable>>,
+    regions: Arc<RwLock<NameTable>>,
 }
 
 impl Names {
-    /// An empty table.
+    /// Empty tables.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Key of a service; the name is added when it is new.
+    /// Key of a service; a new name is added.
     ///
-    /// Only for names from checked configuration or authenticated members:
-    /// the table never shrinks.
+    /// Only for names from validated configuration or authenticated members, since the table never
+    /// shrinks.
     pub fn service(&self, name: &str) -> ServiceKey {
         ServiceKey(intern(&self.services, name))
     }
 
-    /// Key of a workspace; the name is added when it is new.
+    /// Key of a workspace; a new name is added.
     pub fn workspace(&self, name: &str) -> WorkspaceKey {
         WorkspaceKey(intern(&self.workspaces, name))
     }
 
-    /// Key of an availability zone; the name is added when it is new.
+    /// Key of an availability zone; a new name is added.
     pub fn zone(&self, name: &str) -> ZoneKey {
         ZoneKey(intern(&self.zones, name))
     }
 
-    /// Key of a region; the name is added when it is new.
+    /// Key of a region; a new name is added.
     pub fn region(&self, name: &str) -> RegionKey {
         RegionKey(intern(&self.regions, name))
     }
 
-    /// Name of a service.
+    /// Name of a service; empty if the key is unknown.
     #[must_use]
     pub fn service_name(&self, key: ServiceKey) -> String {
-        name_at(&self.services, key.index())
+        name_of(&self.services, key.index())
     }
 
-    /// Name of a workspace.
+    /// Name of a workspace; empty if the key is unknown.
     #[must_use]
     pub fn workspace_name(&self, key: WorkspaceKey) -> String {
-        name_at(&self.workspaces, key.index())
+        name_of(&self.workspaces, key.index())
     }
 }
 
-fn intern(table: &RwLock<Table>, name: &str) -> u16 {
-    if let Some(index) = table.read().expect("lock is not poisoned").keys.get(name) {
+fn intern(table: &RwLock<NameTable>, name: &str) -> u16 {
+    if let Some(index) = table
+        .read()
+        .expect("lock is not poisoned")
+        .indexes
+        .get(name)
+    {
         return *index;
     }
     table.write().expect("lock is not poisoned").intern(name)
 }
 
-fn name_at(table: &RwLock<Table>, index: usize) -> String {
+fn name_of(table: &RwLock<NameTable>, index: usize) -> String {
     table
         .read()
         .expect("lock is not poisoned")
--- a/src/model/outcome.rs
+++ b/src/model/outcome.rs
@@ -1,11 +1,11 @@
-//! How requests end.
+//! Outcomes and refusals of requests.
 
 use {super::Class, std::fmt};
 
-/// How an exchange ended, as told to the caller.
+/// Outcome of a request, as reported to the caller.
 #[derives::key]
 pub enum Outcome {
-    /// The target's whole answer was delivered.
+    /// The complete response of the target was delivered.
     Whole,
     /// The request provably never reached a target.
     NotRun,
@@ -25,10 +25,10 @@
     }
 }
 
-/// Declares the reasons with their names and HTTP status codes in one table.
+/// Declares the reasons with their wire codes, names and HTTP status codes.
 macro_rules! reasons {
     ($($(#[$meta:meta])* $variant:ident = $code:literal, $name:literal, $status:literal;)+) => {
-        /// Why a request was refused or given up.
+        /// Reason why a request was refused or aborted.
         #[derives::key]
         #[repr(u8)]
         pub enum Reason {
@@ -45,7 +45,7 @@
                 match self { $(Self::$variant => $name,)+ }
             }
 
-            /// HTTP status with which callers are answered.
+            /// HTTP status of the response to the caller.
             #[must_use]
             pub const fn status(self) -> u16 {
                 match self { $(Self::$variant => $status,)+ }
@@ -61,65 +61,65 @@
 }
 
 reasons! {
-    /// The key is unknown.
+    /// The tenant key is unknown.
     UnknownKey = 1, "unknown-key", 401;
-    /// The key was revoked.
+    /// The tenant key was revoked.
     RevokedKey = 2, "revoked-key", 401;
-    /// The key could not be confirmed within its lease while cut off.
+    /// The lease of the tenant key expired while the node was cut off and could not renew it.
     KeyLeaseExpired = 3, "key-lease-expired", 401;
-    /// No key was presented.
+    /// No tenant key was sent.
     MissingKey = 4, "missing-key", 401;
     /// A header, path, method or body is malformed.
     BadRequest = 5, "bad-request", 400;
-    /// Headers or body are larger than the limit.
+    /// Headers or body exceed the size limit.
     TooLarge = 6, "too-large", 413;
     /// No route matches.
     NoRoute = 7, "no-route", 404;
-    /// The workspace used up its rate and burst.
+    /// The workspace exceeded its rate and burst.
     OverQuota = 8, "over-quota", 429;
-    /// The target's queue or limit has no room for this class.
+    /// The queue or concurrency limit of the target has no room for this class.
     Overloaded = 9, "overloaded", 503;
-    /// The remaining time does not suffice to finish.
+    /// The request cannot finish by its deadline.
     TooLate = 10, "too-late", 503;
     /// No target of the service is reachable.
     NoTarget = 11, "no-target", 503;
     /// The target is draining.
     Draining = 12, "draining", 503;
-    /// The retry budget of the original request is spent.
+    /// The retry allotment of the original request is used up.
     RetriesExhausted = 13, "retries-exhausted", 503;
-    /// The call handle is unknown or its call is over.
+    /// The call handle is unknown or its call has ended.
     BadHandle = 14, "bad-handle", 409;
-    /// The chain of calls is deeper than is served.
+    /// The call chain is deeper than [`MAX_DEPTH`](super::MAX_DEPTH).
     TooDeep = 15, "too-deep", 508;
-    /// The deadline passed after the request was sent on.
+    /// The deadline passed after the request was forwarded.
     DeadlineExceeded = 16, "deadline-exceeded", 504;
     /// The connection to the target or node broke after the request was sent.
     ConnectionLost = 17, "connection-lost", 502;
-    /// The answer was cut short, crossed or malformed.
+    /// The response was truncated, malformed or belongs to another request.
     BadAnswer = 18, "bad-answer", 502;
     /// The node has no configuration yet.
     NotReady = 19, "not-ready", 503;
-    /// The home of the idempotency key cannot be reached or is not sure.
+    /// The home of the idempotency key is unreachable or cannot tell whether the request ran.
     NoHome = 20, "no-home", 503;
-    /// A request with the same idempotency key is being executed.
+    /// A request with the same idempotency key is running.
     InProgress = 21, "in-progress", 409;
     /// The idempotency key was used for a different request.
     KeyReused = 22, "key-reused", 422;
-    /// An earlier send with this idempotency key has an unknown outcome.
+    /// An earlier request with this idempotency key has an unknown outcome.
     EarlierUnknown = 23, "earlier-unknown", 409;
     /// The peer does not hold the fleet secret.
     NotAuthentic = 24, "not-authentic", 403;
-    /// The parent call or the caller went away.
+    /// The parent call ended or the caller disconnected.
     Cancelled = 25, "cancelled", 499;
     /// Too many connections or streams.
     TooManyConnections = 26, "too-many-connections", 503;
-    /// The target itself refused the request untouched.
+    /// The target itself refused the request without executing it.
     TargetShed = 27, "target-shed", 503;
-    /// The cold target has got what it bears for now.
+    /// The target is cold and currently receives the most it can handle.
     TargetCold = 28, "target-cold", 503;
     /// The target's availability zone is evacuated.
     ZoneEvacuated = 29, "zone-evacuated", 503;
-    /// The request may not run in the target's region.
+    /// The request is not allowed to run in the region of the target.
     OutsideRegions = 30, "outside-regions", 503;
 }
 
@@ -129,21 +129,21 @@
     }
 }
 
-/// A request that ends without the target's answer.
+/// End of a request without the response of the target.
 #[derives::key]
 pub struct Refusal {
-    /// [`Outcome::NotRun`] or [`Outcome::Unknown`], never whole.
+    /// [`Outcome::NotRun`] or [`Outcome::Unknown`], never [`Outcome::Whole`].
     pub outcome: Outcome,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When the caller should come back; 0 when coming back is of no use.
+    /// Time after which the caller should retry; 0 if a retry cannot help.
     pub retry_after_ms: u32,
-    /// Whether hops above may not repeat it.
+    /// Whether upstream hops must not retry the request.
     pub exhausted: bool,
 }
 
 impl Refusal {
-    /// A refusal of a request that provably never reached a target.
+    /// Refusal of a request that provably never reached a target.
     #[must_use]
     pub const fn not_run(reason: Reason) -> Self {
         Self {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The end of a request that may have been executed.
+    /// End of a request that may have been executed.
     #[must_use]
     pub const fn unknown(reason: Reason) -> Self {
         Self {
@@ -165,14 +165,14 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the caller should retry.
     #[must_use]
     pub const fn with_retry_after_ms(mut self, retry_after_ms: u32) -> Self {
         self.retry_after_ms = retry_after_ms;
         self
     }
 
-    /// Marks that no hop above may repeat the request.
+    /// Forbids upstream hops to retry the request.
     #[must_use]
     pub const fn with_exhausted(mut self) -> Self {
         self.exhausted = true;
@@ -180,23 +180,23 @@
     }
 }
 
-/// Level down to which a target's node admits work at present.
+/// Load of a target and the lowest class that its node currently admits.
 ///
-/// Piggybacked on each answer between nodes.
+/// Sent in each response between nodes.
 #[derives::key]
 pub struct AdmissionLevel {
     /// Lowest class that is admitted.
     pub lowest_class: Class,
-    /// Running and queued work over the limit, in percent.
+    /// Running and queued requests over the concurrency limit, in percent.
     pub load_percent: u16,
-    /// Load that the calls of its target meet, in percent.
+    /// Load of the services that the target calls, in percent.
     pub below_percent: u16,
-    /// The node takes no new work.
+    /// Whether the node refuses new requests.
     pub draining: bool,
 }
 
 impl AdmissionLevel {
-    /// Everything is admitted and nothing runs.
+    /// The level of a target that admits every class and runs nothing.
     #[must_use]
     pub const fn idle() -> Self {
         Self {
--- a/src/model/region_set.rs
+++ b/src/model/region_set.rs
@@ -2,8 +2,8 @@
 
 use super::RegionKey;
 
-/// Regions in which a request may run. A set holds the first 64 regions that a
-/// process learns of; others are in no restricted set.
+/// Regions in which a request may run. A restricted set can contain only the first 64 regions that
+/// the process has interned.
 #[derives::key]
 pub struct RegionSet {
     bits: u64,
@@ -11,22 +11,22 @@
 }
 
 impl RegionSet {
-    /// Every region.
+    /// All regions.
     pub const ANY: Self = Self {
         bits: 0,
         is_restricted: false,
     };
 
-    /// Just these regions; every region if there are none.
+    /// Only these regions; all regions if `regions` is empty.
     #[must_use]
     pub fn only(regions: impl IntoIterator<Item = RegionKey>) -> Self {
         regions.into_iter().fold(Self::ANY, |set, region| Self {
-            bits: set.bits | bit(region),
+            bits: set.bits | region_bit(region),
             is_restricted: true,
         })
     }
 
-    /// Regions that are in both sets; may be none.
+    /// Regions in both sets; may be empty.
     #[must_use]
     pub const fn both(self, other: Self) -> Self {
         match (self.is_restricted, other.is_restricted) {
@@ -42,11 +42,11 @@
     /// Whether requests may run in this region.
     #[must_use]
     pub fn allows(self, region: RegionKey) -> bool {
-        !self.is_restricted || self.bits & bit(region) != 0
+        !self.is_restricted || self.bits & region_bit(region) != 0
     }
 }
 
-fn bit(region: RegionKey) -> u64 {
+fn region_bit(region: RegionKey) -> u64 {
     u32::try_from(region.index())
         .ok()
         .and_then(|index| 1u64.checked_shl(index))
