--- a/src/admission/downstream.rs
+++ b/src/admission/downstream.rs
@@ -1,14 +1,13 @@
-//! Admission of new requests by the load and failures of downstream services.
+//! Throttling of new requests by the load and failures of downstream services.
 //!
-//! When the deepest service of a call chain is full, most requests lose one of their sequential
-//! calls there and fail after using slots of the whole chain: with one call in twenty lost, a
-//! request with eight calls fails one time in three. Admitting fewer requests completes more.
+//! If the deepest service of a call chain is full, most requests lose one of their sequential calls
+//! there and fail after using slots of the whole chain: with one call in twenty lost, a request
+//! with eight calls fails one time in three. Admitting fewer requests completes more.
 //!
-//! Every response between nodes carries the load of the target that sent it and the load seen by
-//! its own calls, so that a node sees the fullest downstream service before calls fail there. The
-//! admitted share of new requests falls in steps while that load is high or calls fail, by more at
-//! a higher load, and rises again afterwards. The lowest class falls first; no class falls below a
-//! quarter of the most admitted one, so that none is starved.
+//! Responses between nodes carry the load of the target and of the services it calls, so that a
+//! node sees the fullest downstream service before calls fail there. While that load is high or
+//! calls fail, the admitted share falls in steps, larger at a higher load, lowest class first; no
+//! class falls below a quarter of the most admitted one, so that none is starved.
 
 use {
     super::WorkShares,
@@ -22,7 +21,7 @@
 const STEP_INTERVAL_US: u64 = 200_000;
 /// Length of a window in which failed calls are counted.
 const FAILURE_WINDOW_US: u64 = 200_000;
-/// Fewest calls in a window for a failure ratio.
+/// Fewest calls in a window from which a failure ratio is computed.
 const MIN_CALL_COUNT: u32 = 8;
 /// Failure ratio above which shares fall. If each call makes four calls downstream, one call in
 /// twenty lost at the deepest service causes about this ratio.
@@ -45,10 +44,10 @@
 const LOWER_CLASS_INCREASE: f64 = 0.05;
 /// Load below which a step up raises the shares of several classes.
 const IDLE_LOAD_PERCENT: f64 = 60.0;
-/// Smallest share of browse and of standard over the largest share of the classes above: no class
+/// Smallest shares of browse and standard over the largest share of the classes above: no class
 /// may be served less than a quarter as often as others.
 const MIN_SHARE_RATIOS: [f64; CLASS_COUNT - 1] = [0.25, 0.5];
-/// Smallest share of critical.
+/// Smallest admitted share of critical requests.
 const MIN_CRITICAL_SHARE: f64 = 0.1;
 /// Weight of a new window in the average load, which is also propagated upstream.
 const LOAD_WEIGHT: f64 = 0.6;
@@ -152,12 +151,12 @@
         ended_requests.failed_count += u32::from(has_failed);
     }
 
-    /// Whether a new request of this class is admitted. `ranked` is its class after ranking of
-    /// its workspace; `draw` is uniform between 0 and 1.
-    pub fn admits(&mut self, class: Class, ranked: Class, draw: f64, now_us: u64) -> bool {
+    /// Whether a new request of this class is admitted. `ranked_class` takes the class of
+    /// its workspace into account; `draw` is uniform between 0 and 1.
+    pub fn admits(&mut self, class: Class, ranked_class: Class, draw: f64, now_us: u64) -> bool {
         self.update(now_us);
         let share = match self.depends_on_calls[class.index()] {
-            true => self.shares[ranked.index()],
+            true => self.shares[ranked_class.index()],
             false => 1.0,
         };
         draw < share || !self.relief.would_reduce_downstream_load(class, now_us)
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -109,7 +109,7 @@
     fn arrive(&mut self, arrival: Arrival, now_us: u64, decisions: &mut Vec<Decision>)
     -> TicketKey;
 
-    /// Handles a request that its caller cancelled.
+    /// Handles a request that its caller cancelled while it waited.
     fn withdraw(&mut self, ticket: TicketKey, now_us: u64, decisions: &mut Vec<Decision>);
 
     /// Handles the end of a started request.
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -18,6 +18,7 @@
     deficit: f64,
     /// Whether `deficit` already includes the credit of this round.
     has_credit: bool,
+    /// Whether the workspace is in `active_workspaces`.
     is_active: bool,
 }
 
--- a/src/admission/retry_after.rs
+++ b/src/admission/retry_after.rs
@@ -5,8 +5,8 @@
 /// Steps over which the retry time is spread, up to twice its base.
 const SPREAD_STEP_COUNT: u32 = 64;
 
-/// Milliseconds after which to retry: when the backlog will be served, spread by `spread_step`
-/// so that callers do not all retry at once.
+/// Milliseconds until the backlog is served, spread by `spread_step` so that callers do not all
+/// retry at once.
 pub fn retry_after_ms(backlog_ms: f64, spread_step: u32) -> u32 {
     let (min_ms, max_ms) = RETRY_AFTER_BOUNDS_MS;
     let base_ms = (backlog_ms as u32).clamp(min_ms, max_ms);
--- a/src/admission/window.rs
+++ b/src/admission/window.rs
@@ -62,7 +62,7 @@
         f64::from(self.cancelled_count) / f64::from(self.sample_count.max(1))
     }
 
-    /// Variance of that share.
+    /// Variance of [`Self::cancelled_ratio`].
     #[must_use]
     pub fn cancelled_ratio_variance(&self) -> f64 {
         let ratio = self.cancelled_ratio();
--- a/tests/admission_support/mod.rs
+++ b/tests/admission_support/mod.rs
@@ -41,6 +41,7 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Report {
     None,
+    /// The same busy ratio on every tick.
     Always(f64),
 }
 
