--- a/src/freshness/mod.rs
+++ b/src/freshness/mod.rs
@@ -1,4 +1,9 @@
-//! How much a node may rely on what it knows of the platform.
+//! Freshness: how far a node may rely on the platform documents it holds.
+//!
+//! A node that is cut off from the platform could go on using slices that a
+//! newer slice table assigns to another node. It uses them only while a recent
+//! poll, its own or another node's, confirms that its documents are current, or
+//! while no zone reaches the platform.
 
 mod task;
 mod tracker;
@@ -8,24 +13,25 @@
     tracker::{FreshnessTracker, Snapshot},
 };
 
-/// Greatest age of a confirmed look at the platform that still counts.
+/// Maximum age of a confirmed poll of the platform.
 pub const FRESH_LIMIT_MS: u64 = 5000;
 
-/// Greatest age of a probe whose reply still speaks for a zone.
+/// Maximum age of a probe whose reply still counts for its zone.
 pub const REPLY_LIMIT_MS: u64 = 6000;
 
-/// Allowance for monotonic clocks that run at different speeds, and for the
-/// time that a stamp needs to spread inside a zone.
+/// Margin for monotonic clocks that run at different speeds and for the time
+/// that a stamp takes to spread inside a zone.
 pub const DRIFT_MARGIN_MS: u64 = 1000;
 
-/// State of a node's knowledge of the platform.
+/// How current a node's knowledge of the platform is.
 #[derives::key]
 pub enum Freshness {
-    /// The platform was confirmed to be as known within the limit.
+    /// A poll within [`FRESH_LIMIT_MS`] confirmed the documents held.
     Fresh,
-    /// Every other availability zone answers and none reaches the platform:
-    /// nothing can have changed there.
+    /// Every other availability zone responds and none reaches the platform, so
+    /// its content cannot have changed.
     StoreDown,
-    /// Others may have changed the platform's content unseen.
+    /// Other nodes may have changed the platform's content without this node's
+    /// knowledge.
     CutOff,
 }
--- a/src/freshness/task.rs
+++ b/src/freshness/task.rs
@@ -1,4 +1,4 @@
-//! Keeps the freshness state up to date.
+//! Updates the freshness state from polls, probe replies and membership.
 
 use {
     super::{Freshness, FreshnessTracker, Snapshot},
@@ -14,69 +14,70 @@
     tokio::sync::{mpsc, watch},
 };
 
-/// Time between two looks at what has grown old. What comes in is taken in at
-/// once.
-const PERIOD_MS: u64 = 100;
+/// Time between two checks for expired observations. New observations are
+/// applied at once.
+const EXPIRY_CHECK_PERIOD_MS: u64 = 100;
 
-/// What the state follows from, as it comes in.
+/// An observation that the freshness state is derived from.
 #[derives::value]
 pub enum Heard {
     /// A member's reply to a probe of this node.
     Reply(PeerStamp),
-    /// This node looked at the platform.
+    /// This node polled the platform.
     Platform {
-        /// Monotonic time at which the look was begun.
+        /// Monotonic time at which the poll started.
         asked_ms: u64,
-        /// Versions that it showed.
+        /// Document versions that it returned.
         versions: Versions,
     },
 }
 
-/// What the task reads.
+/// Inputs of the task.
 pub struct FreshnessInputs {
-    /// Ticks.
+    /// Clock and ticks.
     pub timer: Timer,
-    /// Replies and own looks.
+    /// Replies and this node's polls.
     pub heard: mpsc::Receiver<Heard>,
-    /// Members.
+    /// Membership view.
     pub view: watch::Receiver<Arc<View>>,
-    /// Versions of the documents held.
+    /// Versions of the documents that this node holds.
     pub versions: watch::Receiver<Versions>,
-    /// The slice table held.
+    /// The slice table in force.
     pub table: watch::Receiver<Option<Arc<HeldTable>>>,
 }
 
-/// Starts the task; it ends with the timer.
+/// Starts the task, which ends with the timer.
 ///
-/// Gives the state, and the last confirmed look for replies to probes.
+/// Returns the freshness state and the start of the last confirmed poll, which
+/// replies to probes carry.
 #[must_use]
 pub fn spawn(
     mut tracker: FreshnessTracker,
     mut inputs: FreshnessInputs,
 ) -> (watch::Receiver<Snapshot>, watch::Receiver<Option<u64>>) {
-    let (snapshots, snapshot) = watch::channel(Snapshot::cut_off());
-    let (looks, look) = watch::channel(None);
+    let (snapshot_sender, snapshot_receiver) = watch::channel(Snapshot::cut_off());
+    let (confirmed_sender, confirmed_receiver) = watch::channel(None);
     tokio::spawn(async move {
-        let mut ticks = inputs.timer.subscribe(PERIOD_MS);
+        let mut ticks = inputs.timer.subscribe(EXPIRY_CHECK_PERIOD_MS);
         let mut state = Freshness::CutOff;
         let mut is_first = true;
         loop {
             let mut zones_changed = false;
             tokio::select! {
                 tick = ticks.next() => if tick.is_none() { return },
-                Some(heard) = inputs.heard.recv() => take_in(&mut tracker, heard),
+                Some(observation) = inputs.heard.recv() => record(&mut tracker, observation),
                 Ok(()) = inputs.view.changed() => zones_changed = true,
                 Ok(()) = inputs.table.changed() => zones_changed = true,
                 Ok(()) = inputs.versions.changed() => {}
             }
-            while let Ok(heard) = inputs.heard.try_recv() {
-                take_in(&mut tracker, heard);
+            while let Ok(observation) = inputs.heard.try_recv() {
+                record(&mut tracker, observation);
             }
             if zones_changed || is_first {
                 observe_zones(&mut tracker, &mut inputs);
                 is_first = false;
             }
-            tracker.hold_versions(followed_versions(&inputs));
+            tracker.set_versions_in_force(versions_in_force(&inputs));
             let next = tracker.snapshot(inputs.timer.now_ms());
             if next.freshness != state {
                 event!(
@@ -86,44 +87,44 @@
                 );
                 state = next.freshness;
             }
-            snapshots.send_if_modified(|held| replace(held, next));
-            looks.send_if_modified(|held| replace(held, tracker.confirmed_ms()));
+            snapshot_sender.send_if_modified(|current| update(current, next));
+            confirmed_sender.send_if_modified(|current| update(current, tracker.confirmed_ms()));
         }
     });
-    (snapshot, look)
+    (snapshot_receiver, confirmed_receiver)
 }
 
-fn take_in(tracker: &mut FreshnessTracker, heard: Heard) {
-    match heard {
-        Heard::Reply(stamp) => tracker.reply(&stamp),
-        Heard::Platform { asked_ms, versions } => tracker.platform_seen(asked_ms, versions),
+fn record(tracker: &mut FreshnessTracker, observation: Heard) {
+    match observation {
+        Heard::Reply(stamp) => tracker.record_reply(&stamp),
+        Heard::Platform { asked_ms, versions } => tracker.record_poll(asked_ms, versions),
     }
 }
 
 fn observe_zones(tracker: &mut FreshnessTracker, inputs: &mut FreshnessInputs) {
     let view = inputs.view.borrow_and_update();
     let table = inputs.table.borrow_and_update();
-    let slots = table.iter().flat_map(|held| held.table.slots());
+    let slots = table.iter().flat_map(|in_force| in_force.table.slots());
     tracker.observe_zones(&view, slots.map(|slot| slot.zone.as_str()));
 }
 
-/// Versions in force here. A slice table that was received but is not yet
-/// followed does not count: the node would take itself for fresh and go on
-/// using slices that the newer table takes away.
-fn followed_versions(inputs: &FreshnessInputs) -> Versions {
+/// Document versions in force at this node. A slice table that was received but
+/// not yet applied does not count: the node would be fresh and still use slices
+/// that the newer table assigns to others.
+fn versions_in_force(inputs: &FreshnessInputs) -> Versions {
     let mut versions = *inputs.versions.borrow();
-    let followed = inputs
+    let table_version = inputs
         .table
         .borrow()
         .as_ref()
-        .map_or(0, |held| held.version);
-    let slices = &mut versions.0[DocumentKind::Slices.index()];
-    *slices = followed.min(*slices);
+        .map_or(0, |in_force| in_force.version);
+    let slices_version = &mut versions.0[DocumentKind::Slices.index()];
+    *slices_version = table_version.min(*slices_version);
     versions
 }
 
-fn replace<T: PartialEq>(held: &mut T, next: T) -> bool {
-    let is_changed = *held != next;
-    *held = next;
+fn update<T: PartialEq>(current: &mut T, next: T) -> bool {
+    let is_changed = *current != next;
+    *current = next;
     is_changed
 }
--- a/src/freshness/tracker.rs
+++ b/src/freshness/tracker.rs
@@ -1,4 +1,5 @@
-//! Freshness from own looks at the platform and from replies to own probes.
+//! Derives freshness from this node's polls of the platform and from replies to
+//! its probes.
 
 use {
     super::{FRESH_LIMIT_MS, Freshness, REPLY_LIMIT_MS},
@@ -9,25 +10,26 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// A freshness state with the time until which it may be relied on.
+/// A freshness state with the time until which it is valid.
 ///
-/// A process that was paused would otherwise go on with the state from before
-/// the pause, after its slices were taken over: an order could run twice.
-/// Whoever acts on the state reads it with [`Snapshot::at`] at that moment.
+/// Otherwise a process that was paused would continue with the state from
+/// before the pause although its slices were taken over, and a request could
+/// run twice. Read the state with [`Snapshot::at`] at the moment of acting on
+/// it.
 #[derives::key]
 pub struct Snapshot {
     /// State when the snapshot was taken.
     pub freshness: Freshness,
-    /// Monotonic time from which it must be taken for [`Freshness::CutOff`].
+    /// Monotonic time from which the state counts as [`Freshness::CutOff`].
     pub valid_until_ms: u64,
-    /// Monotonic time until which quota slices may be used: these are taken
-    /// over from inside the own zone only, so a zone that is cut off as a
-    /// whole goes on.
+    /// Monotonic time until which quota slices may be used. They are taken over
+    /// only from inside the own zone, so a zone that is cut off as a whole
+    /// continues to use them.
     pub quota_until_ms: u64,
 }
 
 impl Snapshot {
-    /// Knows nothing.
+    /// The state of a node that has no observations.
     #[must_use]
     pub const fn cut_off() -> Self {
         Self {
@@ -54,29 +56,30 @@
     }
 }
 
-/// Last reply of a zone's members.
+/// Newest probe that a member of a zone replied to.
 #[derives::key]
 struct ZoneReply {
     probe_sent_ms: u64,
 }
 
-/// Derives the freshness of a node; no I/O, no clock.
+/// Derives the freshness of a node. Pure state: performs no I/O and reads no
+/// clock.
 #[derive(Debug, Clone)]
 pub struct FreshnessTracker {
     node_id: String,
     zone: String,
     versions: Versions,
     zones: BTreeSet<String>,
-    own_zone_has_others: bool,
+    has_zone_peers: bool,
     confirmed_ms: Option<u64>,
-    /// Begin of the last own look, and what it showed.
-    own_look: Option<(u64, Versions)>,
+    /// Start of this node's last poll, in ms, and the versions it returned.
+    own_poll: Option<(u64, Versions)>,
     stamps: BTreeMap<String, PeerStamp>,
     replies: BTreeMap<String, ZoneReply>,
 }
 
 impl FreshnessTracker {
-    /// A tracker of the node that knows nothing yet.
+    /// A tracker for a node without observations.
     #[must_use]
     pub fn new(node_id: &str, zone: &str) -> Self {
         Self {
@@ -84,28 +87,28 @@
             zone: zone.to_owned(),
             versions: Versions::default(),
             zones: BTreeSet::new(),
-            own_zone_has_others: false,
+            has_zone_peers: false,
             confirmed_ms: None,
-            own_look: None,
+            own_poll: None,
             stamps: BTreeMap::new(),
             replies: BTreeMap::new(),
         }
     }
 
-    /// Takes in the zones of the members and of the slice table's slots.
+    /// Records the zones of the members and of the slice table's slots.
     ///
-    /// A zone that is cut off as a whole dies in the view and would then no
-    /// longer be asked for; the node would take itself for "store down" and
-    /// go on alone. Zones therefore stay known until all their members left
-    /// of their own accord.
+    /// If a zone is cut off as a whole, all its members are declared dead. If
+    /// its replies were then no longer required, this node could derive
+    /// [`Freshness::StoreDown`] and continue alone. A zone therefore stays known
+    /// until all its members have left voluntarily.
     pub fn observe_zones<'a>(
         &mut self,
         view: &View,
         table_zones: impl IntoIterator<Item = &'a str>,
     ) {
-        let left = zones_wholly_left(view);
+        let left = zones_fully_left(view);
         let members = view.members.iter().filter(|m| m.node_id != self.node_id);
-        self.own_zone_has_others = members
+        self.has_zone_peers = members
             .clone()
             .any(|m| m.zone == self.zone && m.is_usable());
         self.zones.extend(members.map(|member| member.zone.clone()));
@@ -117,31 +120,31 @@
             .retain(|node_id, _| view.member(node_id).is_some());
     }
 
-    /// Takes in the versions of the documents that this node holds.
-    pub fn hold_versions(&mut self, versions: Versions) {
+    /// Records the versions of the documents in force at this node.
+    pub fn set_versions_in_force(&mut self, versions: Versions) {
         self.versions = versions;
-        let told = self.stamps.values();
-        let told = told.filter_map(|stamp| Some((stamp.platform_seen_ms?, stamp.versions)));
-        let looks = told.chain(self.own_look);
-        let covered = looks.filter(|(_, shown)| covers(&versions, shown));
-        let newest = covered.map(|(seen_ms, _)| seen_ms).max();
-        self.confirmed_ms = self.confirmed_ms.max(newest);
+        let stamps = self.stamps.values();
+        let reported = stamps.filter_map(|stamp| Some((stamp.platform_seen_ms?, stamp.versions)));
+        let polls = reported.chain(self.own_poll);
+        let confirmed = polls.filter(|(_, polled)| covers(&versions, polled));
+        let newest_ms = confirmed.map(|(seen_ms, _)| seen_ms).max();
+        self.confirmed_ms = self.confirmed_ms.max(newest_ms);
     }
 
-    /// Takes in a look of this node at the platform.
+    /// Records this node's poll of the platform, started at `poll_started_ms`.
     ///
-    /// `asked_ms` is when the look was begun. Like a member's stamp it counts
-    /// once this node holds the versions that it showed.
-    pub fn platform_seen(&mut self, asked_ms: u64, versions: Versions) {
-        self.own_look = Some((asked_ms, versions));
-        self.hold_versions(self.versions);
+    /// Like a member's stamp, it counts once the versions that it returned are
+    /// in force at this node.
+    pub fn record_poll(&mut self, poll_started_ms: u64, versions: Versions) {
+        self.own_poll = Some((poll_started_ms, versions));
+        self.set_versions_in_force(self.versions);
     }
 
-    /// Takes in a member's reply to a probe of this node.
+    /// Records a member's reply to a probe of this node.
     ///
-    /// A stamp counts only once this node holds the versions that it names:
-    /// with an older slice table it would go on using slices that it lost.
-    pub fn reply(&mut self, stamp: &PeerStamp) {
+    /// A stamp counts only once the versions in it are in force at this node:
+    /// with an older slice table the node would use slices that it has lost.
+    pub fn record_reply(&mut self, stamp: &PeerStamp) {
         if stamp.node_id == self.node_id {
             return;
         }
@@ -154,14 +157,14 @@
         self.stamps.insert(stamp.node_id.clone(), stamp.clone());
     }
 
-    /// Last confirmed look at the platform, own or told by others; what this
-    /// node answers to probes.
+    /// Start of the last confirmed poll of the platform, by this node or reported
+    /// by another; this node reports it in replies to probes.
     #[must_use]
     pub const fn confirmed_ms(&self) -> Option<u64> {
         self.confirmed_ms
     }
 
-    /// The state at `now_ms` and how long it may be relied on.
+    /// The state at `now_ms` and how long it is valid.
     #[must_use]
     pub fn snapshot(&self, now_ms: u64) -> Snapshot {
         if let Some(confirmed_ms) = self.confirmed_ms
@@ -173,7 +176,7 @@
                 quota_until_ms: confirmed_ms + FRESH_LIMIT_MS,
             };
         }
-        let quota_until_ms = self.own_zone_until_ms(now_ms).unwrap_or(0);
+        let quota_until_ms = self.zone_quota_until_ms(now_ms).unwrap_or(0);
         match self.store_down_until_ms(now_ms) {
             Some(valid_until_ms) if now_ms < valid_until_ms => Snapshot {
                 freshness: Freshness::StoreDown,
@@ -187,60 +190,67 @@
         }
     }
 
-    /// Until when the own zone's silence about the platform counts.
-    fn own_zone_until_ms(&self, now_ms: u64) -> Option<u64> {
-        let is_own = |stamp: &&PeerStamp| stamp.zone == self.zone;
-        let stamps = self.stamps.values().filter(is_own);
+    /// Time until which quota may be used because no member of the own zone has
+    /// reached the platform recently.
+    fn zone_quota_until_ms(&self, now_ms: u64) -> Option<u64> {
+        let is_in_own_zone = |stamp: &&PeerStamp| stamp.zone == self.zone;
+        let stamps = self.stamps.values().filter(is_in_own_zone);
         let holds_table = self.versions.of(DocumentKind::Slices) > 0;
-        if !holds_table || self.looked_itself(now_ms) || any_fresh(stamps, now_ms) {
+        if !holds_table || self.has_recent_poll(now_ms) || any_recent_poll(stamps, now_ms) {
             return None;
         }
-        if !self.own_zone_has_others {
+        if !self.has_zone_peers {
             return Some(now_ms + REPLY_LIMIT_MS);
         }
         let reply = self.replies.get(&self.zone)?;
         Some(reply.probe_sent_ms + REPLY_LIMIT_MS)
     }
 
-    /// This node reached the platform, though it may not follow yet what it saw.
-    fn looked_itself(&self, now_ms: u64) -> bool {
-        self.own_look
-            .is_some_and(|(asked_ms, _)| now_ms < asked_ms + FRESH_LIMIT_MS)
+    /// Whether this node has polled the platform recently; the versions that the
+    /// poll returned may not be in force yet.
+    fn has_recent_poll(&self, now_ms: u64) -> bool {
+        self.own_poll
+            .is_some_and(|(started_ms, _)| now_ms < started_ms + FRESH_LIMIT_MS)
     }
 
     fn store_down_until_ms(&self, now_ms: u64) -> Option<u64> {
         let holds_table = self.versions.of(DocumentKind::Slices) > 0;
-        let is_reached = self.looked_itself(now_ms) || any_fresh(self.stamps.values(), now_ms);
-        if !holds_table || is_reached {
+        let is_platform_reached =
+            self.has_recent_poll(now_ms) || any_recent_poll(self.stamps.values(), now_ms);
+        if !holds_table || is_platform_reached {
             return None;
         }
-        let own_zone = self.own_zone_has_others.then_some(&self.zone);
+        let own_zone = self.has_zone_peers.then_some(&self.zone);
         let zones = self.zones.iter().chain(own_zone);
-        let oldest = zones
+        let oldest_ms = zones
             .map(|zone| self.replies.get(zone).map(|reply| reply.probe_sent_ms))
-            .try_fold(now_ms, |oldest, sent_ms| Some(oldest.min(sent_ms?)))?;
-        Some(oldest + REPLY_LIMIT_MS)
+            .try_fold(now_ms, |oldest_ms, sent_ms| Some(oldest_ms.min(sent_ms?)))?;
+        Some(oldest_ms + REPLY_LIMIT_MS)
     }
 }
 
-/// Someone reached the platform and knows more than this node does.
-fn any_fresh<'a>(mut stamps: impl Iterator<Item = &'a PeerStamp>, now_ms: u64) -> bool {
+/// Whether a member has reached the platform recently, so that it may know newer
+/// versions than this node.
+fn any_recent_poll<'a>(mut stamps: impl Iterator<Item = &'a PeerStamp>, now_ms: u64) -> bool {
     stamps.any(|stamp| {
         let seen_ms = stamp.platform_seen_ms;
         seen_ms.is_some_and(|seen_ms| now_ms < seen_ms + FRESH_LIMIT_MS)
     })
 }
 
-fn covers(held: &Versions, shown: &Versions) -> bool {
+fn covers(in_force: &Versions, polled: &Versions) -> bool {
     let mut kinds = DocumentKind::ALL.into_iter();
-    kinds.all(|kind| held.of(kind) >= shown.of(kind))
+    kinds.all(|kind| in_force.of(kind) >= polled.of(kind))
 }
 
-fn zones_wholly_left(view: &View) -> BTreeSet<&str> {
-    let staying = |zone: &str| {
+fn zones_fully_left(view: &View) -> BTreeSet<&str> {
+    let has_remaining_member = |zone: &str| {
         let mut members = view.members.iter().filter(|m| m.zone == zone);
         members.any(|member| member.state != MemberState::Left)
     };
     let zones: BTreeSet<&str> = view.members.iter().map(|m| m.zone.as_str()).collect();
-    zones.into_iter().filter(|zone| !staying(zone)).collect()
+    zones
+        .into_iter()
+        .filter(|zone| !has_remaining_member(zone))
+        .collect()
 }
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -1,4 +1,5 @@
-//! Freshness follows from own looks and replies to own probes.
+//! Freshness is derived from a node's polls of the platform and from replies to
+//! its probes.
 
 use dogwoodbridge::{
     documents::Versions,
@@ -7,7 +8,7 @@
 };
 
 const NOW_MS: u64 = 100_000;
-const HELD: Versions = Versions([4, 5, 6, 0]);
+const VERSIONS_IN_FORCE: Versions = Versions([4, 5, 6, 0]);
 
 fn member(node_id: &str, zone: &str, state: MemberState) -> Member {
     let ports = MemberPorts {
@@ -33,42 +34,42 @@
     node_id: &'static str,
     zone: &'static str,
     probe_age_ms: u64,
-    look_age_ms: Option<u64>,
+    poll_age_ms: Option<u64>,
     slices_version: u64,
 }
 
-const fn reply(node_id: &'static str, zone: &'static str, look_age_ms: Option<u64>) -> Reply {
+const fn reply(node_id: &'static str, zone: &'static str, poll_age_ms: Option<u64>) -> Reply {
     Reply {
         node_id,
         zone,
         probe_age_ms: 100,
-        look_age_ms,
+        poll_age_ms,
         slices_version: 6,
     }
 }
 
 struct Case {
     name: &'static str,
-    own_look_age_ms: Option<u64>,
-    held: Versions,
-    c_state: MemberState,
+    own_poll_age_ms: Option<u64>,
+    versions_in_force: Versions,
+    zone_c_state: MemberState,
     replies: Vec<Reply>,
     expected: Freshness,
     allows_quota: bool,
 }
 
 #[test]
-fn state_follows_from_looks_and_replies() {
+fn state_follows_from_polls_and_replies() {
     let base = || Case {
-        name: "knows nothing",
-        own_look_age_ms: None,
-        held: HELD,
-        c_state: MemberState::Alive,
+        name: "no observations",
+        own_poll_age_ms: None,
+        versions_in_force: VERSIONS_IN_FORCE,
+        zone_c_state: MemberState::Alive,
         replies: vec![],
         expected: Freshness::CutOff,
         allows_quota: false,
     };
-    let all_without_look = || {
+    let all_zones_without_poll = || {
         vec![
             reply("a2", "a", None),
             reply("b1", "b", None),
@@ -78,26 +79,26 @@
     let cases = [
         base(),
         Case {
-            name: "own look",
-            own_look_age_ms: Some(FRESH_LIMIT_MS - 1),
+            name: "own poll",
+            own_poll_age_ms: Some(FRESH_LIMIT_MS - 1),
             expected: Freshness::Fresh,
             allows_quota: true,
             ..base()
         },
         Case {
-            name: "own look too old",
-            own_look_age_ms: Some(FRESH_LIMIT_MS),
+            name: "own poll too old",
+            own_poll_age_ms: Some(FRESH_LIMIT_MS),
             ..base()
         },
         Case {
-            name: "look of another",
+            name: "poll of another node",
             replies: vec![reply("b1", "b", Some(500))],
             expected: Freshness::Fresh,
             allows_quota: true,
             ..base()
         },
         Case {
-            name: "look of another that knows a newer table",
+            name: "poll of another node that holds a newer table",
             replies: vec![Reply {
                 slices_version: 7,
                 ..reply("b1", "b", Some(500))
@@ -105,41 +106,41 @@
             ..base()
         },
         Case {
-            name: "all zones answer and none reaches the platform",
-            replies: all_without_look(),
+            name: "all zones respond and none reaches the platform",
+            replies: all_zones_without_poll(),
             expected: Freshness::StoreDown,
             allows_quota: true,
             ..base()
         },
         Case {
-            name: "a zone does not answer",
+            name: "a zone does not respond",
             replies: vec![reply("a2", "a", None), reply("b1", "b", None)],
             allows_quota: true,
             ..base()
         },
         Case {
-            name: "a zone that does not answer and is taken for dead",
-            c_state: MemberState::Dead,
+            name: "a zone does not respond and is declared dead",
+            zone_c_state: MemberState::Dead,
             replies: vec![reply("a2", "a", None), reply("b1", "b", None)],
             allows_quota: true,
             ..base()
         },
         Case {
-            name: "a zone that left",
-            c_state: MemberState::Left,
+            name: "all members of a zone left",
+            zone_c_state: MemberState::Left,
             replies: vec![reply("a2", "a", None), reply("b1", "b", None)],
             expected: Freshness::StoreDown,
             allows_quota: true,
             ..base()
         },
         Case {
-            name: "only the own zone answers",
+            name: "only the own zone responds",
             replies: vec![reply("a2", "a", None)],
             allows_quota: true,
             ..base()
         },
         Case {
-            name: "a zone mate knows a newer table",
+            name: "a member of the own zone holds a newer table",
             replies: vec![Reply {
                 slices_version: 7,
                 ..reply("a2", "a", Some(500))
@@ -147,7 +148,7 @@
             ..base()
         },
         Case {
-            name: "own zone does not answer",
+            name: "own zone does not respond",
             replies: vec![reply("b1", "b", None), reply("c1", "c", None)],
             ..base()
         },
@@ -165,8 +166,8 @@
             ..base()
         },
         Case {
-            name: "no slice table held",
-            held: Versions([4, 5, 0, 0]),
+            name: "no slice table in force",
+            versions_in_force: Versions([4, 5, 0, 0]),
             replies: vec![
                 Reply {
                     slices_version: 0,
@@ -184,9 +185,9 @@
             ..base()
         },
         Case {
-            name: "one of a zone knows a newer table",
+            name: "a second member of another zone holds a newer table",
             replies: {
-                let mut replies = all_without_look();
+                let mut replies = all_zones_without_poll();
                 replies.push(Reply {
                     slices_version: 7,
                     ..reply("b2", "b", Some(500))
@@ -199,24 +200,24 @@
     ];
     for case in cases {
         let mut tracker = FreshnessTracker::new("a1", "a");
-        tracker.hold_versions(case.held);
+        tracker.set_versions_in_force(case.versions_in_force);
         let members = vec![
             member("a1", "a", MemberState::Alive),
             member("a2", "a", MemberState::Alive),
             member("b1", "b", MemberState::Alive),
             member("b2", "b", MemberState::Alive),
-            member("c1", "c", case.c_state),
+            member("c1", "c", case.zone_c_state),
         ];
         tracker.observe_zones(&View { members }, []);
-        if let Some(age_ms) = case.own_look_age_ms {
-            tracker.platform_seen(NOW_MS - age_ms, HELD);
+        if let Some(age_ms) = case.own_poll_age_ms {
+            tracker.record_poll(NOW_MS - age_ms, VERSIONS_IN_FORCE);
         }
         for reply in &case.replies {
-            tracker.reply(&PeerStamp {
+            tracker.record_reply(&PeerStamp {
                 node_id: reply.node_id.to_owned(),
                 zone: reply.zone.to_owned(),
                 versions: Versions([4, 5, reply.slices_version, 0]),
-                platform_seen_ms: reply.look_age_ms.map(|age_ms| NOW_MS - age_ms),
+                platform_seen_ms: reply.poll_age_ms.map(|age_ms| NOW_MS - age_ms),
                 is_origin_failing: false,
                 probe_sent_ms: NOW_MS - reply.probe_age_ms,
             });
@@ -228,35 +229,36 @@
     }
 }
 
-/// A node is stopped for a few seconds and goes on in the middle of a
-/// request. It would act on the state from before the stop, and an order
-/// could run at two homes.
+/// A node is paused for a few seconds in the middle of a request. If it acted on
+/// the state from before the pause, the request could run at two homes.
 #[test]
-fn a_snapshot_from_before_a_pause_is_worth_nothing() {
+fn a_snapshot_expires_during_a_pause() {
     let mut tracker = FreshnessTracker::new("a1", "a");
-    tracker.platform_seen(NOW_MS, Versions::default());
+    tracker.record_poll(NOW_MS, Versions::default());
     let snapshot = tracker.snapshot(NOW_MS + 10);
     assert_eq!(snapshot.at(NOW_MS + FRESH_LIMIT_MS - 1), Freshness::Fresh);
     assert_eq!(snapshot.at(NOW_MS + FRESH_LIMIT_MS), Freshness::CutOff);
 }
 
-/// A node reads a new slice table and is stopped before it follows it. It
-/// would go on with slices that the table gave to others.
+/// A node reads a new slice table and is paused before it applies it. It must
+/// not use slices that the new table assigns to others.
 #[test]
-fn an_own_look_counts_once_what_it_showed_is_followed() {
+fn an_own_poll_counts_once_its_versions_are_in_force() {
     let mut tracker = FreshnessTracker::new("a1", "a");
-    tracker.hold_versions(HELD);
-    tracker.platform_seen(NOW_MS, Versions([4, 5, 7, 0]));
+    tracker.set_versions_in_force(VERSIONS_IN_FORCE);
+    tracker.record_poll(NOW_MS, Versions([4, 5, 7, 0]));
     assert_eq!(tracker.snapshot(NOW_MS).freshness, Freshness::CutOff);
-    tracker.hold_versions(Versions([4, 5, 7, 0]));
+    tracker.set_versions_in_force(Versions([4, 5, 7, 0]));
     assert_eq!(tracker.snapshot(NOW_MS).freshness, Freshness::Fresh);
 }
 
+/// A member reports a poll that returned a newer slice table. Until this node
+/// applies that table, it must not count as fresh.
 #[test]
-fn a_stamp_counts_once_the_newer_table_is_held() {
+fn a_stamp_counts_once_the_newer_table_is_in_force() {
     let mut tracker = FreshnessTracker::new("a1", "a");
-    tracker.hold_versions(HELD);
-    tracker.reply(&PeerStamp {
+    tracker.set_versions_in_force(VERSIONS_IN_FORCE);
+    tracker.record_reply(&PeerStamp {
         node_id: "b1".to_owned(),
         zone: "b".to_owned(),
         versions: Versions([4, 5, 7, 0]),
@@ -265,6 +267,6 @@
         probe_sent_ms: NOW_MS,
     });
     assert_eq!(tracker.snapshot(NOW_MS).freshness, Freshness::CutOff);
-    tracker.hold_versions(Versions([4, 5, 7, 0]));
+    tracker.set_versions_in_force(Versions([4, 5, 7, 0]));
     assert_eq!(tracker.snapshot(NOW_MS).freshness, Freshness::Fresh);
 }
