--- a/src/freshness/tracker.rs
+++ b/src/freshness/tracker.rs
@@ -23,7 +23,7 @@
     /// Monotonic time from which the state counts as [`Freshness::CutOff`].
     pub valid_until_ms: u64,
     /// Monotonic time until which quota slices may be used. They are taken over
-    /// only from inside the own zone, so a zone that is cut off as a whole
+    /// only from inside the zone, so a zone that is cut off as a whole
     /// continues to use them.
     pub quota_until_ms: u64,
 }
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Time until which quota may be used because no member of the own zone has
+    /// Time until which quota may be used because no member of this node's zone has
     /// reached the platform recently.
     fn zone_quota_until_ms(&self, now_ms: u64) -> Option<u64> {
         let is_in_own_zone = |stamp: &&PeerStamp| stamp.zone == self.zone;
--- a/src/guard/home.rs
+++ b/src/guard/home.rs
@@ -1,4 +1,5 @@
-//! This node as the home of idempotency keys.
+//! The node's home for idempotency keys: the key table behind a lock, together
+//! with the clock, the freshness state and the slice table.
 
 use {
     super::{
@@ -24,36 +25,36 @@
 
 struct State {
     table: GuardTable,
-    /// The slot may use its slices according to the slice table.
-    is_usable: bool,
-    /// This process made the first slice table of the fleet.
-    is_creator: bool,
+    /// The slice table allows this process to use the slices of its slot.
+    may_use_slices: bool,
+    /// This process created the first slice table of the fleet.
+    is_fleet_creator: bool,
 }
 
-/// Shared table of keys with the clock and the freshness state at hand.
+/// Shared key table that reads the clock and the freshness state itself.
 pub struct GuardHome {
-    own: Slot,
+    own_slot: Slot,
     timer: Timer,
     freshness: watch::Receiver<Snapshot>,
     state: Mutex<State>,
 }
 
 impl GuardHome {
-    /// The home of the process in this slot that started then.
+    /// A home for the process that started at `started_unix_ms` in `own_slot`.
     #[must_use]
     pub fn new(
-        own: Slot,
+        own_slot: Slot,
         started_unix_ms: u64,
         timer: Timer,
         freshness: watch::Receiver<Snapshot>,
     ) -> Self {
         let state = State {
             table: GuardTable::new(started_unix_ms),
-            is_usable: false,
-            is_creator: false,
+            may_use_slices: false,
+            is_fleet_creator: false,
         };
         Self {
-            own,
+            own_slot,
             timer,
             freshness,
             state: Mutex::new(state),
@@ -64,10 +65,10 @@
     #[must_use]
     pub fn begin(&self, request: &KeyedRequest) -> Begin {
         let mut state = self.lock();
-        // Read under the lock and right before the decision: a state from
-        // before a pause would let two homes run the same key.
+        // Read under the lock, right before the decision: with a state read
+        // before a process pause, two homes could execute the same key.
         let time = self.time();
-        let freshness = match state.is_usable {
+        let freshness = match state.may_use_slices {
             true => self.freshness.borrow().at(time.now_ms),
             false => Freshness::CutOff,
         };
@@ -90,55 +91,57 @@
         self.lock().table.finish(key, finish, self.time());
     }
 
-    /// Forgets keys past their retention.
+    /// Removes keys whose retention has ended.
     pub fn expire(&self) {
         self.lock().table.expire(self.timer.now_ms());
     }
 
-    /// Number of keys kept.
+    /// Number of stored keys.
     #[must_use]
     pub fn record_count(&self) -> usize {
         self.lock().table.record_count()
     }
 
-    /// This process wrote the first slice table: no key ran before.
-    pub fn created_fleet(&self) {
-        self.lock().is_creator = true;
+    /// Records that this process wrote the first slice table of the fleet, so
+    /// no key was executed earlier.
+    pub fn set_fleet_creator(&self) {
+        self.lock().is_fleet_creator = true;
     }
 
-    /// Follows a version of the slice table.
+    /// Applies a new version of the slice table.
     pub fn observe_table(&self, slices: &SliceTable) {
         let mut state = self.lock();
         let time = self.time();
-        let usable = slices.usable_slot(&self.own.node_id, self.own.ip);
-        state.is_usable = usable.is_some();
-        let own = slices.find(&self.own.node_id);
-        let owned: HashMap<SliceIndex, u64> = own.map_or_else(HashMap::new, |own| {
-            slices.owned(Section::Keys, own).collect()
+        let usable_slot = slices.usable_slot(&self.own_slot.node_id, self.own_slot.ip);
+        state.may_use_slices = usable_slot.is_some();
+        let slot_index = slices.find(&self.own_slot.node_id);
+        let owned: HashMap<SliceIndex, u64> = slot_index.map_or_else(HashMap::new, |slot_index| {
+            slices.owned(Section::Keys, slot_index).collect()
         });
-        let held: Vec<SliceIndex> = state.table.held().collect();
-        for slice in held {
-            let since = state
+        let held_slices: Vec<SliceIndex> = state.table.held_slices().collect();
+        for slice in held_slices {
+            let held_epoch = state
                 .table
                 .history(slice)
                 .map(|history| history.since_version);
-            if owned.get(&slice).copied() != since {
+            if owned.get(&slice).copied() != held_epoch {
                 state.table.release(slice, time);
             }
         }
-        for (slice, since_version) in owned {
+        for (slice, since_epoch) in owned {
             if state.table.history(slice).is_none() {
-                let is_first = state.is_creator && since_version == 1;
+                let is_first_owner = state.is_fleet_creator && since_epoch == 1;
                 let history = History {
-                    since_version,
-                    known_since_unix_ms: if is_first { 0 } else { time.unix_ms },
+                    since_version: since_epoch,
+                    known_since_unix_ms: if is_first_owner { 0 } else { time.unix_ms },
                 };
                 state.table.hold(slice, history);
             }
         }
     }
 
-    /// Stops using slices that are about to be given up.
+    /// Stops using slices that are about to move to another node; returns
+    /// their keys.
     #[must_use]
     pub fn release(&self, slices: &[SliceIndex]) -> Vec<SliceExport> {
         let mut state = self.lock();
@@ -149,7 +152,7 @@
         exports.collect()
     }
 
-    /// Uses slices again whose move did not take effect.
+    /// Resumes the use of released slices whose move did not take effect.
     pub fn restore(&self, exports: Vec<SliceExport>) {
         let mut state = self.lock();
         for export in exports {
@@ -157,7 +160,8 @@
         }
     }
 
-    /// Takes in keys of a slice that was given up for this node.
+    /// Imports the keys of a slice that moved to this node; false if they are
+    /// rejected, see [`GuardTable::import`].
     pub fn hand_over(&self, handover: Handover) -> bool {
         self.lock().table.import(handover, self.time())
     }
@@ -170,15 +174,17 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
 
 impl KeyedRequest {
-    /// From an Idempotency-Key header.
+    /// Builds the request from its Idempotency-Key header.
     ///
-    /// The workspace's name takes part in the hash, which is the same on all
-    /// nodes; `fingerprint` is a hash of method, path and body.
+    /// The key hash includes the workspace name, which is the same on all
+    /// nodes. `fingerprint` is a hash of method, path and body.
     #[must_use]
     pub fn new(
         workspace: WorkspaceKey,
@@ -186,23 +192,23 @@
         header: &str,
         fingerprint: u64,
     ) -> Self {
-        let text = format!("{workspace_name}\n{header}");
+        let hash_input = format!("{workspace_name}\n{header}");
         Self {
             key: GuardKey {
                 workspace,
-                key_hash: xxh3_128(text.as_bytes()),
+                key_hash: xxh3_128(hash_input.as_bytes()),
             },
-            made_unix_ms: made_unix_ms(header),
+            created_unix_ms: created_unix_ms(header),
             fingerprint,
         }
     }
 }
 
-fn made_unix_ms(header: &str) -> Option<u64> {
+fn created_unix_ms(header: &str) -> Option<u64> {
     let uuid = Uuid::try_parse(header.trim()).ok()?;
     if uuid.get_version() != Some(Version::SortRand) {
         return None;
     }
-    let (seconds, nanos) = uuid.get_timestamp()?.to_unix();
-    Some(seconds * 1000 + u64::from(nanos) / 1_000_000)
+    let (seconds, nanoseconds) = uuid.get_timestamp()?.to_unix();
+    Some(seconds * 1000 + u64::from(nanoseconds) / 1_000_000)
 }
--- a/src/guard/mod.rs
+++ b/src/guard/mod.rs
@@ -1,4 +1,8 @@
 //! At most one execution for each idempotency key.
+//!
+//! A resent request could run twice, also after its slice of keys moved to
+//! another node. The key's home records every execution, replays its response
+//! and refuses keys that may have run at an earlier home.
 
 mod home;
 mod table;
@@ -6,8 +10,8 @@
 pub use {
     home::GuardHome,
     table::{
-        CLOCK_MARGIN_MS, GuardTable, GuardTime, History, KeyedRequest, MAX_ANSWER_BYTES,
-        MAX_RECORD_COUNT, RETENTION_MS,
+        CLOCK_MARGIN_MS, GuardTable, GuardTime, History, KeyedRequest, MAX_RECORD_COUNT,
+        MAX_STORED_RESPONSE_BYTES, RETENTION_MS,
     },
 };
 
@@ -16,30 +20,31 @@
     slices::SliceIndex,
 };
 
-/// Identity of a keyed request: the same workspace and key mean the same
-/// request.
+/// Identity of a keyed request: requests with the same workspace and key are
+/// the same request.
 #[derives::key]
 pub struct GuardKey {
     /// Workspace of the caller.
     pub workspace: WorkspaceKey,
-    /// Hash of the Idempotency-Key header; wide enough not to collide.
+    /// Hash of workspace name and Idempotency-Key header; 128 bits, so that
+    /// collisions are negligible.
     pub key_hash: u128,
 }
 
-/// An answer that is kept for resends.
+/// Response that is stored and replayed to resends.
 #[derives::value]
 #[derive(Eq)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Headers of the answer.
+    /// Response headers.
     pub headers: Vec<(String, String)>,
-    /// Whole body.
+    /// Complete body.
     pub body: bytes::Bytes,
 }
 
 impl StoredAnswer {
-    /// Bytes that it takes to keep.
+    /// Size of headers and body, in bytes.
     #[must_use]
     pub fn byte_count(&self) -> usize {
         let headers = self.headers.iter();
@@ -48,7 +53,7 @@
     }
 }
 
-/// A key that moves to another home with its slice.
+/// A stored key that moves to another home with its slice.
 #[derives::value]
 #[derive(Eq)]
 pub struct SliceRecord {
@@ -56,33 +61,33 @@
     pub key: GuardKey,
     /// Fingerprint of the request.
     pub fingerprint: u64,
-    /// Its answer; `None` when the outcome is unknown.
+    /// Its response; `None` when the outcome is unknown.
     pub answer: Option<StoredAnswer>,
-    /// How much longer it is kept.
+    /// Time until its retention ends.
     pub keep_for_ms: u64,
 }
 
-/// The keys of a slice that was given up.
+/// Keys of a slice that its owner released.
 #[derives::value]
 #[derive(Eq)]
 pub struct SliceExport {
     /// The slice.
     pub slice: SliceIndex,
-    /// What the giver knew of its past.
+    /// Execution history of the slice as the releasing home knew it.
     pub history: History,
-    /// Its keys.
+    /// Its stored keys.
     pub records: Vec<SliceRecord>,
 }
 
-/// What to do with a keyed request at its home.
+/// A home's decision on a keyed request.
 #[derives::value]
 #[derive(Eq)]
 pub enum Begin {
-    /// Not seen before: execute it, then call `finish`.
+    /// Not executed before: execute it, then call `finish`.
     Execute,
-    /// Executed before: answer with this.
+    /// Executed before: return this stored response.
     Replay(StoredAnswer),
-    /// Neither may happen; answer with this refusal.
+    /// Neither execute nor replay; return this refusal.
     Refuse(Refusal),
 }
 
@@ -90,23 +95,23 @@
 #[derives::value]
 #[derive(Eq)]
 pub enum Finish {
-    /// It provably did not run; a resend may run.
+    /// It provably did not run; a resend may be executed.
     NotRun,
-    /// It ran and this is the answer.
+    /// It ran and returned this response.
     Answered(StoredAnswer),
-    /// It may have run; resends are told so.
+    /// It may have run; resends are refused as unknown.
     Unknown,
 }
 
-/// A given-up slice's keys on their way to the next home.
+/// Keys of a released slice, sent to its new home.
 #[derives::value]
 #[derive(Eq)]
 pub struct Handover {
-    /// The keys.
+    /// The released slice with its keys.
     pub export: SliceExport,
-    /// Version of the slice table that moved the slice.
+    /// Epoch of the slice table that moved the slice.
     pub moved_by_version: u64,
-    /// Start of the process that the slice was meant for when it was
-    /// released, before the table was written.
+    /// Start time of the process that the slice was released to, as known
+    /// before the table was written.
     pub to_started_unix_ms: u64,
 }
--- a/src/guard/table.rs
+++ b/src/guard/table.rs
@@ -1,4 +1,5 @@
-//! The home's table of idempotency keys.
+//! Table of idempotency keys at their home: executions with their responses,
+//! and how far back the executions in each held slice are known.
 
 use {
     super::{Begin, Finish, GuardKey, Handover, SliceExport, SliceRecord, StoredAnswer},
@@ -10,70 +11,71 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// How long a key and its answer are kept.
+/// Retention of a key and its response.
 pub const RETENTION_MS: u64 = 10 * 60 * 1000;
 
-/// Greatest difference of wall clocks, between nodes and of callers that are
-/// ahead, that is allowed for.
+/// Largest tolerated wall clock difference, between nodes and of a caller's
+/// clock ahead of a node's.
 pub const CLOCK_MARGIN_MS: u64 = 2000;
 
-/// Keys that a home keeps at most; further ones are refused, never forgotten
-/// early.
+/// Maximum number of keys at a home. Further keys are refused; none is evicted
+/// before its retention ends.
 pub const MAX_RECORD_COUNT: usize = 20_000;
 
-/// Bytes of kept answers; beyond it an answer is forgotten, its key is not.
-pub const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum total size of stored responses. A response beyond it is dropped and
+/// its key kept with an unknown outcome.
+pub const MAX_STORED_RESPONSE_BYTES: usize = 8 << 20;
 
-/// When to come back while the first send is being executed.
+/// Retry delay for a resend while the first request is being executed.
 const IN_PROGRESS_RETRY_MS: u32 = 200;
 
-/// When to come back to a home that is full or not sure.
+/// Retry delay for a home that is full or not certain to be the home.
 const HOME_RETRY_MS: u32 = 1000;
 
-/// Time as the guard needs it.
+/// Current time on both clocks that the guard uses.
 #[derives::key]
 pub struct GuardTime {
-    /// Monotonic time of this process.
+    /// Monotonic clock of this process.
     pub now_ms: u64,
-    /// Wall clock, compared with the time in UUIDv7 keys.
+    /// Wall clock, compared with the timestamp in UUIDv7 keys.
     pub unix_ms: u64,
 }
 
-/// A keyed request as its home sees it.
+/// A request with an idempotency key, as its home decides on it.
 #[derives::key]
 pub struct KeyedRequest {
     /// Workspace and key.
     pub key: GuardKey,
-    /// When the key was made, if it is a UUIDv7.
-    pub made_unix_ms: Option<u64>,
-    /// Hash of method, path and body: tells a resend from a key that was used
-    /// for something else.
+    /// Wall clock time at which the key was created, if it is a UUIDv7.
+    pub created_unix_ms: Option<u64>,
+    /// Hash of method, path and body; distinguishes a resend from a key that is
+    /// reused for another request.
     pub fingerprint: u64,
 }
 
-/// What this home knows of a slice's past.
+/// What this home knows of earlier executions in a slice.
 #[derives::key]
 pub struct History {
-    /// Version of the slice table by which the slice came here.
+    /// Epoch of the slice table that gave the slice to this home.
     pub since_version: u64,
-    /// Every execution since this wall-clock time is known; 0 when nothing
-    /// ever ran elsewhere.
+    /// Every execution since this wall clock time is known; 0 if nothing was
+    /// ever executed elsewhere.
     pub known_since_unix_ms: u64,
 }
 
-/// A slice that this home holds.
+/// State of a slice that this home holds.
 #[derives::key]
-struct Held {
+struct HeldSlice {
     history: History,
-    /// No copy of its keys has come from the earlier home so far.
-    awaits_handover: bool,
+    /// The earlier home's keys have not been imported yet.
+    is_awaiting_handover: bool,
 }
 
 #[derives::value]
 enum State {
     InProgress,
-    Answered(StoredAnswer),
-    /// It may have run, or the answer was not kept.
+    Responded(StoredAnswer),
+    /// It may have run, or its response was not stored.
     Unknown,
 }
 
@@ -85,74 +87,78 @@
     serial: u64,
 }
 
-/// Table of keys at their home; no I/O, no clock.
+/// Table of the keys of one home. Pure state: performs no I/O and reads no
+/// clock.
 #[derive(Debug)]
 pub struct GuardTable {
     started_unix_ms: u64,
-    held: HashMap<SliceIndex, Held>,
-    /// Table versions by which slices had come here when they were released.
-    released: HashMap<SliceIndex, u64>,
+    held_slices: HashMap<SliceIndex, HeldSlice>,
+    /// Epochs that had given this home the slices it released.
+    released_epochs: HashMap<SliceIndex, u64>,
     records: HashMap<GuardKey, Record>,
-    /// Records in the order in which they expire; `serial` parts equal times.
+    /// Keys by expiry time; `serial` makes equal times distinct.
     expiry: BTreeMap<(u64, u64), GuardKey>,
-    answer_bytes: usize,
+    stored_response_bytes: usize,
     next_serial: u64,
     max_record_count: usize,
 }
 
 impl GuardTable {
-    /// A table that holds no slice, of the process that started then.
+    /// A table without slices, for the process that started at
+    /// `started_unix_ms`.
     #[must_use]
     pub fn new(started_unix_ms: u64) -> Self {
         Self {
             started_unix_ms,
-            held: HashMap::new(),
-            released: HashMap::new(),
+            held_slices: HashMap::new(),
+            released_epochs: HashMap::new(),
             records: HashMap::new(),
             expiry: BTreeMap::new(),
-            answer_bytes: 0,
+            stored_response_bytes: 0,
             next_serial: 0,
             max_record_count: MAX_RECORD_COUNT,
         }
     }
 
-    /// Keeps at most this many keys.
+    /// Overrides the maximum number of keys.
     #[must_use]
     pub const fn with_max_record_count(mut self, max_record_count: usize) -> Self {
         self.max_record_count = max_record_count;
         self
     }
 
-    /// Begins to hold a slice with what is known of its past.
+    /// Starts to hold a slice with the given execution history.
     pub fn hold(&mut self, slice: SliceIndex, history: History) {
-        let released = self.released.get(&slice);
-        let awaits_handover = released.is_none_or(|version| *version < history.since_version);
-        let held = Held {
+        let released_epoch = self.released_epochs.get(&slice);
+        let is_awaiting_handover =
+            released_epoch.is_none_or(|epoch| *epoch < history.since_version);
+        let held = HeldSlice {
             history,
-            awaits_handover,
+            is_awaiting_handover,
         };
-        self.held.insert(slice, held);
+        self.held_slices.insert(slice, held);
     }
 
-    /// What is known of a held slice's past.
+    /// Execution history of a held slice.
     #[must_use]
     pub fn history(&self, slice: SliceIndex) -> Option<History> {
-        self.held.get(&slice).map(|held| held.history)
+        self.held_slices.get(&slice).map(|held| held.history)
     }
 
-    /// Slices that are held, in no order.
-    pub fn held(&self) -> impl Iterator<Item = SliceIndex> {
-        self.held.keys().copied()
+    /// Held slices, in arbitrary order.
+    pub fn held_slices(&self) -> impl Iterator<Item = SliceIndex> {
+        self.held_slices.keys().copied()
     }
 
-    /// Stops holding a slice and takes out its keys, for its next home.
+    /// Stops holding a slice and removes its keys, to be sent to its next home.
     ///
-    /// From here on the slice is not used, whatever becomes of the write.
+    /// The slice is unused from now on, whether or not the write of the slice
+    /// table succeeds.
     pub fn release(&mut self, slice: SliceIndex, time: GuardTime) -> Option<SliceExport> {
-        let history = self.held.remove(&slice)?.history;
-        self.released.insert(slice, history.since_version);
-        let keys = self.records.keys().copied();
-        let keys: Vec<GuardKey> = keys.filter(|key| key.slice() == slice).collect();
+        let history = self.held_slices.remove(&slice)?.history;
+        self.released_epochs.insert(slice, history.since_version);
+        let all_keys = self.records.keys().copied();
+        let keys: Vec<GuardKey> = all_keys.filter(|key| key.slice() == slice).collect();
         let mut records = Vec::with_capacity(keys.len());
         for key in keys {
             if let Some(record) = self.remove(key) {
@@ -166,8 +172,8 @@
         })
     }
 
-    /// Holds a released slice again after the table turned out not to have
-    /// moved it: its owner since `history.since_version` is still this node.
+    /// Holds a released slice again because the slice table did not move it:
+    /// this node still owns it since the epoch in its history.
     pub fn restore(&mut self, export: SliceExport, time: GuardTime) {
         self.hold(export.slice, export.history);
         for record in export.records {
@@ -175,27 +181,27 @@
         }
     }
 
-    /// Takes in the keys of a slice that was given up in favour of this
-    /// process; false when the copy is of no use.
+    /// Imports the keys of a slice that was released to this process; false if
+    /// the handover is rejected.
     ///
-    /// A copy that arrives late would claim a past that this home does not
-    /// know: after the slice went away and came back, after this node
-    /// restarted and forgot what it ran itself, after an earlier copy. An
-    /// order could run twice. So a copy counts once, for the move that it
-    /// belongs to and for the process that lived before that move.
+    /// A late handover lacks the executions since it was made: those at other
+    /// homes if the slice moved away and back, this node's own if it restarted
+    /// or already imported a copy. A key could then run twice. So a handover
+    /// is accepted once, and only for its own move of the slice and for the
+    /// process that was running before that move.
     pub fn import(&mut self, handover: Handover, time: GuardTime) -> bool {
         let Handover { export, .. } = handover;
-        let Some(held) = self.held.get_mut(&export.slice) else {
+        let Some(held) = self.held_slices.get_mut(&export.slice) else {
             return false;
         };
-        let is_meant = handover.to_started_unix_ms == self.started_unix_ms
+        let is_for_this_process_and_move = handover.to_started_unix_ms == self.started_unix_ms
             && held.history.since_version == handover.moved_by_version;
-        if !is_meant || !held.awaits_handover {
+        if !is_for_this_process_and_move || !held.is_awaiting_handover {
             return false;
         }
-        held.awaits_handover = false;
-        let known_since = &mut held.history.known_since_unix_ms;
-        *known_since = (*known_since).min(export.history.known_since_unix_ms);
+        held.is_awaiting_handover = false;
+        let known_since_unix_ms = &mut held.history.known_since_unix_ms;
+        *known_since_unix_ms = (*known_since_unix_ms).min(export.history.known_since_unix_ms);
         for record in export.records {
             self.import_record(record, time);
         }
@@ -204,8 +210,9 @@
 
     /// Decides on a keyed request.
     ///
-    /// What is recorded is answered in every freshness state, since it is
-    /// true anyway. Only an execution needs the certainty to be the home.
+    /// Recorded keys are decided in every freshness state, since a record stays
+    /// true. Only an execution requires certainty that this node is the
+    /// key's home.
     pub fn begin(
         &mut self,
         request: &KeyedRequest,
@@ -216,7 +223,7 @@
             return Begin::Refuse(no_home());
         };
         if let Some(record) = self.records.get(&request.key) {
-            return known(record, request.fingerprint);
+            return decide_from_record(record, request.fingerprint);
         }
         if freshness == Freshness::CutOff {
             return Begin::Refuse(no_home());
@@ -240,8 +247,8 @@
 
     /// Records how an execution ended.
     ///
-    /// A key whose slice went to another home meanwhile is left alone: it
-    /// went along as unknown.
+    /// Ignored if the key's slice has moved to another home since: the key was
+    /// exported as unknown.
     pub fn finish(&mut self, key: GuardKey, finish: Finish, time: GuardTime) {
         let Some(record) = self.remove(key) else {
             return;
@@ -249,15 +256,16 @@
         let keep_until_ms = time.now_ms + RETENTION_MS;
         let state = match finish {
             Finish::NotRun => return,
-            Finish::Answered(answer) => self.answered(answer),
+            Finish::Answered(response) => self.response_state(response),
             Finish::Unknown => State::Unknown,
         };
         self.insert(key, record.fingerprint, state, keep_until_ms);
     }
 
-    /// Forgets keys past their retention; a system per tick.
+    /// Removes keys whose retention has ended; called on every tick.
     ///
-    /// An execution that never ended is kept as unknown for another term.
+    /// An execution without a result is kept as unknown for one more retention
+    /// period.
     pub fn expire(&mut self, now_ms: u64) {
         while let Some((&(keep_until_ms, _), &key)) = self.expiry.first_key_value() {
             if keep_until_ms > now_ms {
@@ -273,23 +281,23 @@
         }
     }
 
-    /// Number of keys kept.
+    /// Number of stored keys.
     #[must_use]
     pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Bytes of kept answers.
+    /// Total size of the stored responses, in bytes.
     #[must_use]
-    pub const fn answer_bytes(&self) -> usize {
-        self.answer_bytes
+    pub const fn stored_response_bytes(&self) -> usize {
+        self.stored_response_bytes
     }
 
-    fn answered(&self, answer: StoredAnswer) -> State {
-        if self.answer_bytes + answer.byte_count() > MAX_ANSWER_BYTES {
+    fn response_state(&self, response: StoredAnswer) -> State {
+        if self.stored_response_bytes + response.byte_count() > MAX_STORED_RESPONSE_BYTES {
             State::Unknown
         } else {
-            State::Answered(answer)
+            State::Responded(response)
         }
     }
 
@@ -298,7 +306,7 @@
             return;
         }
         let state = match record.answer {
-            Some(answer) => self.answered(answer),
+            Some(response) => self.response_state(response),
             None => State::Unknown,
         };
         let keep_until_ms = time.now_ms + record.keep_for_ms;
@@ -308,7 +316,7 @@
     fn insert(&mut self, key: GuardKey, fingerprint: u64, state: State, keep_until_ms: u64) {
         let serial = self.next_serial;
         self.next_serial += 1;
-        self.answer_bytes += state_bytes(&state);
+        self.stored_response_bytes += stored_bytes(&state);
         self.expiry.insert((keep_until_ms, serial), key);
         let record = Record {
             fingerprint,
@@ -322,26 +330,26 @@
     fn remove(&mut self, key: GuardKey) -> Option<Record> {
         let record = self.records.remove(&key)?;
         self.expiry.remove(&(record.keep_until_ms, record.serial));
-        self.answer_bytes -= state_bytes(&record.state);
+        self.stored_response_bytes -= stored_bytes(&record.state);
         Some(record)
     }
 }
 
 impl GuardKey {
-    /// Slice whose owner is the key's home.
+    /// Slice of the key; the slice's owner is the key's home.
     #[must_use]
     pub const fn slice(&self) -> SliceIndex {
-        // The modulus is below 2^16.
+        // `SLICE_COUNT` is below 2^16, so the remainder fits.
         SliceIndex::new((self.key_hash % SLICE_COUNT as u128) as u16)
     }
 }
 
-fn known(record: &Record, fingerprint: u64) -> Begin {
+fn decide_from_record(record: &Record, fingerprint: u64) -> Begin {
     if record.fingerprint != fingerprint {
         return Begin::Refuse(Refusal::not_run(Reason::KeyReused).with_exhausted());
     }
     match &record.state {
-        State::Answered(answer) => Begin::Replay(answer.clone()),
+        State::Responded(response) => Begin::Replay(response.clone()),
         State::Unknown => Begin::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
         State::InProgress => {
             let refusal = Refusal::unknown(Reason::InProgress);
@@ -350,26 +358,26 @@
     }
 }
 
-/// Whether the key may have run at an earlier home, or here before what was
-/// kept of it was forgotten.
+/// Refuses a key that may have run at an earlier home, or here with a record
+/// that has expired since.
 fn history_refusal(request: &KeyedRequest, history: History, time: GuardTime) -> Option<Refusal> {
-    let unsure = Refusal::unknown(Reason::NoHome);
-    let Some(made_unix_ms) = request.made_unix_ms else {
-        let sure_from = history.known_since_unix_ms + RETENTION_MS;
-        let is_sure = history.known_since_unix_ms == 0 || time.unix_ms >= sure_from;
-        return (!is_sure).then_some(unsure);
+    let unknown_history = Refusal::unknown(Reason::NoHome);
+    let Some(created_unix_ms) = request.created_unix_ms else {
+        let certain_from_unix_ms = history.known_since_unix_ms + RETENTION_MS;
+        let is_certain = history.known_since_unix_ms == 0 || time.unix_ms >= certain_from_unix_ms;
+        return (!is_certain).then_some(unknown_history);
     };
-    // A key from the future would look new to a later home although it ran
-    // here. It is refused before anything runs, at every home alike.
-    if made_unix_ms > time.unix_ms + CLOCK_MARGIN_MS {
+    // A key created in the future, once executed here, would look new to a
+    // later home. Every home refuses it before execution.
+    if created_unix_ms > time.unix_ms + CLOCK_MARGIN_MS {
         return Some(Refusal::not_run(Reason::BadRequest));
     }
-    // An earlier home may have run it up to a margin before the key's own
-    // time, and its clock may differ from this one's by another margin.
-    let ran_elsewhere = history.known_since_unix_ms > 0
-        && made_unix_ms <= history.known_since_unix_ms + 2 * CLOCK_MARGIN_MS;
-    let forgotten = made_unix_ms + RETENTION_MS <= time.unix_ms + 2 * CLOCK_MARGIN_MS;
-    (ran_elsewhere || forgotten).then_some(unsure)
+    // An earlier home may have run it up to one margin before the key's
+    // timestamp, and that home's clock may differ from this one's by another.
+    let may_have_run_elsewhere = history.known_since_unix_ms > 0
+        && created_unix_ms <= history.known_since_unix_ms + 2 * CLOCK_MARGIN_MS;
+    let may_have_expired = created_unix_ms + RETENTION_MS <= time.unix_ms + 2 * CLOCK_MARGIN_MS;
+    (may_have_run_elsewhere || may_have_expired).then_some(unknown_history)
 }
 
 const fn no_home() -> Refusal {
@@ -377,22 +385,23 @@
 }
 
 fn export_record(key: GuardKey, record: Record, now_ms: u64) -> SliceRecord {
-    let answer = match record.state {
-        State::Answered(answer) => Some(answer),
-        // Its end will be known here only, and a resend there must not run.
+    let response = match record.state {
+        State::Responded(response) => Some(response),
+        // The result will be known to this home only; the next home must not
+        // execute a resend.
         State::InProgress | State::Unknown => None,
     };
     SliceRecord {
         key,
         fingerprint: record.fingerprint,
-        answer,
+        answer: response,
         keep_for_ms: record.keep_until_ms.saturating_sub(now_ms),
     }
 }
 
-fn state_bytes(state: &State) -> usize {
+fn stored_bytes(state: &State) -> usize {
     match state {
-        State::Answered(answer) => answer.byte_count(),
+        State::Responded(response) => response.byte_count(),
         State::InProgress | State::Unknown => 0,
     }
 }
--- a/src/slices/mod.rs
+++ b/src/slices/mod.rs
@@ -1,4 +1,8 @@
-//! Owners of the slices of quota and idempotency keys.
+//! Ownership of the slices of quota and idempotency keys.
+//!
+//! The slice table names one owner for each slice. Two nodes that used a slice
+//! at the same time could admit its rate twice or execute a key twice, so a
+//! slice moves only after its owner released it or must have stopped using it.
 
 mod codec;
 mod plan;
@@ -8,31 +12,31 @@
 mod task;
 
 pub use {
-    codec::SlicesError,
+    codec::SliceTableError,
     plan::{
-        Observed, Planner, SELF_CLAIM_WAIT_MS, SUSPECT_PERIOD_MS, TAKEOVER_WAIT_MS, UNKNOWN_WAIT_MS,
+        MISSING_WAIT_MS, Observed, Planner, SELF_CLAIM_WAIT_MS, SUSPECT_PERIOD_MS, TAKEOVER_WAIT_MS,
     },
     share::{KEY_OWNERS_PER_ZONE, QUOTA_OWNERS_PER_ZONE},
-    steps::{Moved, Step},
-    table::{HeldTable, Owner, Section, SliceTable, Slot, SlotKey},
+    steps::{SliceTransfer, Step},
+    table::{HeldTable, Owner, Section, SliceTable, Slot, SlotIndex},
     task::{SliceInputs, spawn},
 };
 
-/// Slices of each section; never changes while a fleet lives.
+/// Number of slices in each section; fixed for the lifetime of a fleet.
 pub const SLICE_COUNT: usize = 4096;
 
-/// Place of a slice in its section.
+/// Index of a slice in its section.
 #[derives::key]
 pub struct SliceIndex(u16);
 
 impl SliceIndex {
-    /// The slice at this place, below [`SLICE_COUNT`].
+    /// The slice with this index, which is below [`SLICE_COUNT`].
     #[must_use]
     pub const fn new(index: u16) -> Self {
         Self(index)
     }
 
-    /// Place in tables with a row per slice.
+    /// Index into tables with one row per slice.
     #[must_use]
     pub const fn index(self) -> usize {
         self.0 as usize
--- a/src/slices/share.rs
+++ b/src/slices/share.rs
@@ -1,4 +1,4 @@
-//! How many slices each member should own.
+//! Number of slices that each member should own.
 
 use {
     super::{
@@ -10,26 +10,27 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Members of a zone that own quota slices. Banks ask each owner about twice
-/// a second, so owners are few; a lost one idles its share until the takeover.
+/// Maximum number of quota slice owners in a zone. Token pools query each owner
+/// about twice per second, so there are few; the share of a lost owner is
+/// unused until the takeover.
 pub const QUOTA_OWNERS_PER_ZONE: usize = 4;
 
-/// Members of a zone that are homes of idempotency keys.
+/// Maximum number of homes of idempotency keys in a zone.
 pub const KEY_OWNERS_PER_ZONE: usize = 24;
 
-/// A member and the slices that it should own.
+/// Number of slices that a member should own.
 pub struct Share<'a> {
     pub member: &'a Member,
     pub slice_count: usize,
 }
 
-/// Members that may get slices.
+/// Members that may own slices.
 pub fn eligible(view: &View) -> impl Iterator<Item = &Member> {
     view.members.iter().filter(|member| member.is_usable())
 }
 
-/// Shares of the members that should own slices of a section: zones in
-/// proportion to their members, within a zone evenly over a few members.
+/// Shares of the members that should own slices of a section: each zone in
+/// proportion to its member count, split evenly over a few of its members.
 pub fn shares<'a>(table: &SliceTable, view: &'a View, section: Section) -> Vec<Share<'a>> {
     let mut zones: BTreeMap<&str, Vec<&Member>> = BTreeMap::new();
     for member in eligible(view) {
@@ -37,40 +38,42 @@
     }
     let member_count: usize = zones.values().map(Vec::len).sum();
     let mut shares = Vec::new();
-    let (mut seen_count, mut given_count) = (0, 0);
+    let (mut counted_member_count, mut assigned_count) = (0, 0);
     for mut members in zones.into_values() {
-        seen_count += members.len();
-        let zone_end = SLICE_COUNT * seen_count / member_count;
-        choose(table, section, &mut members);
-        split(zone_end - given_count, &members, &mut shares);
-        given_count = zone_end;
+        counted_member_count += members.len();
+        let zone_end_index = SLICE_COUNT * counted_member_count / member_count;
+        select_owners(table, section, &mut members);
+        split_evenly(zone_end_index - assigned_count, &members, &mut shares);
+        assigned_count = zone_end_index;
     }
     shares
 }
 
-/// Keeps the members that own slices already, then others in an order that
-/// all nodes agree on.
-fn choose(table: &SliceTable, section: Section, members: &mut Vec<&Member>) {
-    let limit = match section {
+/// Selects the owners in a zone: current owners first, then other members in
+/// an order that is the same on all nodes.
+fn select_owners(table: &SliceTable, section: Section, members: &mut Vec<&Member>) {
+    let max_owner_count = match section {
         Section::Quota => QUOTA_OWNERS_PER_ZONE,
         Section::Keys => KEY_OWNERS_PER_ZONE,
     };
     let counts = table.slots().iter().zip(table.counts(section));
-    let owning = counts.filter(|(_, count)| *count > 0);
-    let owning: HashSet<&str> = owning.map(|(slot, _)| slot.node_id.as_str()).collect();
+    let owning_slots = counts.filter(|(_, count)| *count > 0);
+    let owning_ids: HashSet<&str> = owning_slots
+        .map(|(slot, _)| slot.node_id.as_str())
+        .collect();
     members.sort_by_cached_key(|member| {
-        let is_new = !owning.contains(member.node_id.as_str());
-        (is_new, xxh3_64(member.node_id.as_bytes()))
+        let owns_nothing = !owning_ids.contains(member.node_id.as_str());
+        (owns_nothing, xxh3_64(member.node_id.as_bytes()))
     });
-    members.truncate(limit);
+    members.truncate(max_owner_count);
 }
 
-fn split<'a>(slice_count: usize, members: &[&'a Member], shares: &mut Vec<Share<'a>>) {
-    let (each, rest) = (slice_count / members.len(), slice_count % members.len());
+fn split_evenly<'a>(slice_count: usize, members: &[&'a Member], shares: &mut Vec<Share<'a>>) {
+    let (base_count, remainder) = (slice_count / members.len(), slice_count % members.len());
     for (index, member) in members.iter().enumerate() {
         shares.push(Share {
             member,
-            slice_count: each + usize::from(index < rest),
+            slice_count: base_count + usize::from(index < remainder),
         });
     }
 }
--- a/src/slices/steps.rs
+++ b/src/slices/steps.rs
@@ -1,48 +1,49 @@
-//! Changes of the slice table.
+//! Changes to the slice table.
 
 use {
     super::{
         SliceIndex,
-        table::{Owner, Section, SliceTable, Slot, SlotKey},
+        table::{Owner, Section, SliceTable, Slot, SlotIndex},
     },
     crate::membership::Member,
 };
 
-/// One change; several go into one write.
+/// One change to the table; a write can contain several.
 #[derives::value]
 #[derive(Eq)]
 pub enum Step {
-    /// Says that this node is alive although it was suspected.
-    ClearMark,
-    /// Suspects a slot whose process seems to be gone.
+    /// Clears the suspicion of this node's slot: the node is alive.
+    ClearSuspicion,
+    /// Marks a slot as suspected because its process seems to be gone.
     Suspect {
         /// Name of the slot.
         node_id: String,
     },
-    /// Takes the slices of a slot that stayed silent.
-    Take {
+    /// Takes over the slices of a slot that stayed suspected.
+    TakeOver {
         /// Name of the slot.
         node_id: String,
-        /// Sections that are taken.
+        /// Sections whose slices are taken over.
         sections: Vec<Section>,
     },
-    /// Takes the own slot over from a predecessor at another address.
+    /// Takes over this node's own slot from a predecessor at another address.
     Claim,
-    /// Gives own slices up in favour of another member.
-    Give(Moved),
+    /// Transfers slices of this node to another member.
+    Transfer(SliceTransfer),
 }
 
-/// Slices that this node gives to a member.
+/// Slices that this node transfers to another member.
 #[derives::value]
 #[derive(Eq)]
-pub struct Moved {
+pub struct SliceTransfer {
     /// Section of the slices.
     pub section: Section,
     /// The slices; this node stops using them before it writes.
     pub slices: Vec<SliceIndex>,
-    /// The slot that gets them.
+    /// The slot that receives them.
     pub to: Slot,
-    /// Its process, which alone may take in handed-over keys.
+    /// Start time of the receiving process; only this process may import the
+    /// keys.
     pub to_started_unix_ms: u64,
 }
 
@@ -60,50 +61,50 @@
 }
 
 impl SliceTable {
-    /// The table after these steps of the node in `own` slot.
+    /// The table after these steps, written by the node in `own_slot`.
     #[must_use]
-    pub fn with_steps(&self, own: &Slot, steps: &[Step]) -> Self {
+    pub fn with_steps(&self, own_slot: &Slot, steps: &[Step]) -> Self {
         let mut next = self.clone();
         next.epoch += 1;
         for step in steps {
-            next.apply(own, step);
+            next.apply(own_slot, step);
         }
-        next.compact();
+        next.remove_unused_slots();
         next
     }
 
-    fn apply(&mut self, own: &Slot, step: &Step) {
+    fn apply(&mut self, own_slot: &Slot, step: &Step) {
         let epoch = self.epoch;
         match step {
-            Step::ClearMark => {
-                let key = self.intern(own);
-                self.slots[key.index()].mark_epoch = None;
+            Step::ClearSuspicion => {
+                let slot_index = self.find_or_add(own_slot);
+                self.slots[slot_index.index()].mark_epoch = None;
             }
             Step::Suspect { node_id } => {
-                if let Some(key) = self.find(node_id) {
-                    self.slots[key.index()].mark_epoch = Some(epoch);
+                if let Some(slot_index) = self.find(node_id) {
+                    self.slots[slot_index.index()].mark_epoch = Some(epoch);
                 }
             }
-            Step::Take { node_id, sections } => {
+            Step::TakeOver { node_id, sections } => {
                 let Some(from) = self.find(node_id) else {
                     return;
                 };
-                let slot = self.intern(own);
+                let to = self.find_or_add(own_slot);
                 for section in sections {
-                    self.replace(*section, from, slot);
+                    self.reassign(*section, from, to);
                 }
             }
             Step::Claim => {
-                let slot = self.intern(own);
-                self.slots[slot.index()] = own.clone();
+                let slot_index = self.find_or_add(own_slot);
+                self.slots[slot_index.index()] = own_slot.clone();
                 for section in Section::ALL {
-                    self.replace(section, slot, slot);
+                    self.reassign(section, slot_index, slot_index);
                 }
             }
-            Step::Give(moved) => {
-                let slot = self.intern(&moved.to);
-                for slice in &moved.slices {
-                    self.owners_mut(moved.section)[slice.index()] = Owner {
+            Step::Transfer(transfer) => {
+                let slot = self.find_or_add(&transfer.to);
+                for slice in &transfer.slices {
+                    self.owners_mut(transfer.section)[slice.index()] = Owner {
                         slot,
                         since_epoch: epoch,
                     };
@@ -112,7 +113,7 @@
         }
     }
 
-    fn replace(&mut self, section: Section, from: SlotKey, slot: SlotKey) {
+    fn reassign(&mut self, section: Section, from: SlotIndex, slot: SlotIndex) {
         let since_epoch = self.epoch;
         let owners = self.owners_mut(section).iter_mut();
         for owner in owners.filter(|owner| owner.slot == from) {
@@ -120,30 +121,30 @@
         }
     }
 
-    fn intern(&mut self, slot: &Slot) -> SlotKey {
-        if let Some(key) = self.find(&slot.node_id) {
-            return key;
+    fn find_or_add(&mut self, slot: &Slot) -> SlotIndex {
+        if let Some(index) = self.find(&slot.node_id) {
+            return index;
         }
         self.slots.push(slot.clone());
         let index = u16::try_from(self.slots.len() - 1).expect("fewer than 65,536 slots");
-        SlotKey(index)
+        SlotIndex(index)
     }
 
-    /// Drops slots without slices.
-    fn compact(&mut self) {
-        let mut places = vec![None; self.slots.len()];
+    /// Removes slots that own no slices.
+    fn remove_unused_slots(&mut self) {
+        let mut new_indices = vec![None; self.slots.len()];
         for owner in self.quota.iter().chain(&self.keys) {
-            places[owner.slot.index()] = Some(0);
+            new_indices[owner.slot.index()] = Some(0);
         }
-        let used = places.iter_mut().flatten();
-        for (place, used) in (0..).zip(used) {
-            *used = place;
+        let used_slots = new_indices.iter_mut().flatten();
+        for (index, new_index) in (0..).zip(used_slots) {
+            *new_index = index;
         }
         for owner in self.quota.iter_mut().chain(&mut self.keys) {
-            let place = places[owner.slot.index()];
-            owner.slot = SlotKey(place.expect("the slot owns this slice"));
+            let new_index = new_indices[owner.slot.index()];
+            owner.slot = SlotIndex(new_index.expect("the slot owns this slice"));
         }
-        let mut is_used = places.iter().map(Option::is_some);
+        let mut is_used = new_indices.iter().map(Option::is_some);
         self.slots.retain(|_| is_used.next().unwrap_or(false));
     }
 }
--- a/src/slices/table.rs
+++ b/src/slices/table.rs
@@ -1,16 +1,16 @@
-//! The slice table.
+//! The slice table: the owner of each slice.
 
 use {
     super::{SLICE_COUNT, SliceIndex},
     std::net::IpAddr,
 };
 
-/// What a slice is a part of.
+/// Resource that is divided into slices.
 #[derives::key]
 pub enum Section {
-    /// Every workspace's rate and burst.
+    /// Rate and burst of every workspace.
     Quota,
-    /// The homes of idempotency keys.
+    /// Idempotency keys; the owner of a slice is the home of its keys.
     Keys,
 }
 
@@ -19,12 +19,12 @@
     pub const ALL: [Self; 2] = [Self::Quota, Self::Keys];
 }
 
-/// Place of a slot in one table; another version may place it elsewhere.
+/// Index of a slot in one version of the table; it may differ in others.
 #[derives::key]
-pub struct SlotKey(pub(super) u16);
+pub struct SlotIndex(pub(super) u16);
 
-impl SlotKey {
-    /// Place in the table's slots.
+impl SlotIndex {
+    /// Index into the table's slots.
     #[must_use]
     pub const fn index(self) -> usize {
         self.0 as usize
@@ -35,24 +35,25 @@
 #[derives::value]
 #[derive(Eq)]
 pub struct Slot {
-    /// Its name.
+    /// Name of the slot.
     pub node_id: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Address of the instance that holds it. A replacement at another
-    /// address may not use the slices at once: its predecessor may be paused
-    /// and not dead, and would use them too.
+    /// Address of the instance that holds the slot. A replacement at another
+    /// address must wait before it uses the slices: its predecessor may only
+    /// be paused and would use them too.
     pub ip: IpAddr,
-    /// Epoch of the write that suspected it.
+    /// Epoch of the write that marked the slot as suspected; `None` if it is
+    /// not.
     pub mark_epoch: Option<u64>,
 }
 
 /// Owner of a slice.
 #[derives::key]
 pub struct Owner {
-    /// The slot.
-    pub slot: SlotKey,
-    /// Epoch of the write that gave it the slice.
+    /// The owning slot.
+    pub slot: SlotIndex,
+    /// Epoch of the write that assigned the slice to it.
     pub since_epoch: u64,
 }
 
@@ -60,30 +61,30 @@
 #[derives::value]
 #[derive(Eq)]
 pub struct SliceTable {
-    /// Counts writes. Unlike the document's version it is known before the
-    /// write, so that handed-over keys can name the move that they belong to.
+    /// Number of the write. Unlike the document's version it is known before
+    /// the write, so that a handover of keys can name the move it belongs to.
     pub epoch: u64,
     pub(super) slots: Vec<Slot>,
     pub(super) quota: Vec<Owner>,
     pub(super) keys: Vec<Owner>,
 }
 
-/// A table that guard and quota follow, with the version of its document.
+/// A slice table that guard and quota apply, with its document's version.
 #[derives::value]
 #[derive(Eq)]
 pub struct HeldTable {
-    /// Version of the document.
+    /// Version of the document `slices`.
     pub version: u64,
     /// The table.
     pub table: SliceTable,
 }
 
 impl SliceTable {
-    /// The first table of a fleet: one slot owns everything.
+    /// The first table of a fleet; the creator's slot owns all slices.
     #[must_use]
     pub fn new(creator: Slot) -> Self {
         let owner = Owner {
-            slot: SlotKey(0),
+            slot: SlotIndex(0),
             since_epoch: 1,
         };
         Self {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Owners of a section's slices, in the order of the slices.
+    /// Owners of a section's slices, by slice index.
     #[must_use]
     pub fn owners(&self, section: Section) -> &[Owner] {
         match section {
@@ -116,17 +117,17 @@
         &self.slots
     }
 
-    /// The slot at this place.
+    /// The slot at this index.
     #[must_use]
-    pub fn slot(&self, key: SlotKey) -> &Slot {
-        &self.slots[key.index()]
+    pub fn slot(&self, slot_index: SlotIndex) -> &Slot {
+        &self.slots[slot_index.index()]
     }
 
-    /// Place of the slot of this name.
+    /// Index of the slot with this name.
     #[must_use]
-    pub fn find(&self, node_id: &str) -> Option<SlotKey> {
+    pub fn find(&self, node_id: &str) -> Option<SlotIndex> {
         let index = self.slots.iter().position(|slot| slot.node_id == node_id)?;
-        u16::try_from(index).ok().map(SlotKey)
+        u16::try_from(index).ok().map(SlotIndex)
     }
 
     /// The slot that owns a slice.
@@ -135,20 +136,20 @@
         self.slot(self.owners(section)[slice.index()].slot)
     }
 
-    /// Slices that a slot owns, with the epochs that gave them.
+    /// Slices that a slot owns, each with the epoch that assigned it.
     pub fn owned(
         &self,
         section: Section,
-        slot: SlotKey,
+        slot: SlotIndex,
     ) -> impl Iterator<Item = (SliceIndex, u64)> {
         let owners = self.owners(section).iter();
         let owned = SliceIndex::all()
             .zip(owners)
-            .filter(move |(_, o)| o.slot == slot);
+            .filter(move |(_, owner)| owner.slot == slot);
         owned.map(|(slice, owner)| (slice, owner.since_epoch))
     }
 
-    /// Number of a section's slices that each slot owns.
+    /// Number of slices of the section that each slot owns, by slot index.
     #[must_use]
     pub fn counts(&self, section: Section) -> Vec<usize> {
         let mut counts = vec![0; self.slots.len()];
@@ -158,14 +159,14 @@
         counts
     }
 
-    /// The slot as which this process may use slices at present.
+    /// The slot whose slices this process may use now.
     ///
-    /// Not while it is suspected: whoever marked it counts its silence, and
-    /// this process must have cleared the mark before it goes on.
+    /// `None` while the slot is suspected: other nodes count the time until
+    /// they take it over, so this process must clear the suspicion first.
     #[must_use]
-    pub fn usable_slot(&self, node_id: &str, ip: IpAddr) -> Option<SlotKey> {
-        let key = self.find(node_id)?;
-        let slot = self.slot(key);
-        (slot.ip == ip && slot.mark_epoch.is_none()).then_some(key)
+    pub fn usable_slot(&self, node_id: &str, ip: IpAddr) -> Option<SlotIndex> {
+        let slot_index = self.find(node_id)?;
+        let slot = self.slot(slot_index);
+        (slot.ip == ip && slot.mark_epoch.is_none()).then_some(slot_index)
     }
 }
--- a/src/slices/task.rs
+++ b/src/slices/task.rs
@@ -1,7 +1,7 @@
-//! Keeps the slice table in order and tells its users.
+//! Reads and writes the slice table and applies it to guard and quota.
 
 use {
-    super::{HeldTable, Moved, Observed, Planner, Section, SliceTable, Slot, Step},
+    super::{HeldTable, Observed, Planner, Section, SliceTable, SliceTransfer, Slot, Step},
     crate::{
         documents::{Document, DocumentKind, DocumentWriter, WriteResult},
         event,
@@ -17,75 +17,76 @@
     tokio::sync::watch,
 };
 
-/// Time between two plans.
-const PERIOD_MS: u64 = 500;
+/// Time between two runs of the planner.
+const PLAN_PERIOD_MS: u64 = 500;
 
-/// How long no table must have been seen before one is created.
-const CREATE_AFTER_MS: u64 = 2000;
+/// Time without a table after which the first member creates one.
+const CREATE_WAIT_MS: u64 = 2000;
 
-/// Pause before a write is repeated whose answer was lost.
-const REWRITE_PAUSE_MS: u64 = 200;
+/// Pause before a write whose response was lost is repeated.
+const WRITE_RETRY_PAUSE_MS: u64 = 200;
 
-/// Tries to hand a slice's keys over; the next home answers `unknown` without.
-const HANDOVER_TRIES: u32 = 20;
+/// Maximum attempts to hand over a slice's keys. Without them the next home
+/// refuses resends as `unknown`.
+const MAX_HANDOVER_ATTEMPTS: u32 = 20;
 
-/// Pause between these tries; the next home must see the table first.
+/// Pause between these attempts; the next home must apply the table first.
 const HANDOVER_PAUSE_MS: u64 = 300;
 
-/// What the task reads and whom it tells.
+/// Inputs of the task and the users of the table.
 pub struct SliceInputs<W> {
     /// Slot of this node.
     pub own: Slot,
     /// Clock and ticks.
     pub timer: Timer,
-    /// Members.
+    /// Membership view.
     pub view: watch::Receiver<Arc<View>>,
-    /// Freshness.
+    /// Freshness state.
     pub freshness: watch::Receiver<Snapshot>,
-    /// The document `slices` as this node holds it.
+    /// The document `slices` that this node holds.
     pub document: watch::Receiver<Option<Document>>,
-    /// This node wants to get rid of its slices.
+    /// This node is draining and transfers all its slices.
     pub draining: watch::Receiver<bool>,
-    /// Writes to the platform.
+    /// Writer to the platform.
     pub writer: W,
-    /// Home of idempotency keys.
+    /// Home of idempotency keys; applies the table.
     pub guard: Arc<GuardHome>,
-    /// Quota.
+    /// Quota owner; applies the table.
     pub quota: LeasedQuota,
-    /// Calls to other nodes.
+    /// RPC client for handovers.
     pub client: RpcClient,
 }
 
-/// A released slice's keys with where they go.
-struct Outgoing {
-    moved: Moved,
+/// Released slices with their keys and their receiver.
+struct OutgoingTransfer {
+    transfer: SliceTransfer,
     exports: Vec<SliceExport>,
 }
 
 struct Task<W> {
     inputs: SliceInputs<W>,
     planner: Planner,
-    held: Option<Arc<HeldTable>>,
-    tables: watch::Sender<Option<Arc<HeldTable>>>,
+    in_force: Option<Arc<HeldTable>>,
+    table_sender: watch::Sender<Option<Arc<HeldTable>>>,
 }
 
-/// Starts the task; it ends with the timer. Gives the table in force.
+/// Starts the task, which ends with the timer. Returns the table in force.
 #[must_use]
 pub fn spawn<W: DocumentWriter>(inputs: SliceInputs<W>) -> watch::Receiver<Option<Arc<HeldTable>>> {
-    let (tables, table) = watch::channel(None);
+    let (table_sender, table_receiver) = watch::channel(None);
     let task = Task {
         planner: Planner::new(inputs.own.clone()),
         inputs,
-        held: None,
-        tables,
+        in_force: None,
+        table_sender,
     };
     tokio::spawn(task.run());
-    table
+    table_receiver
 }
 
 impl<W: DocumentWriter> Task<W> {
     async fn run(mut self) {
-        let mut ticks = self.inputs.timer.subscribe(PERIOD_MS);
+        let mut ticks = self.inputs.timer.subscribe(PLAN_PERIOD_MS);
         let mut document = self.inputs.document.clone();
         let started_ms = self.inputs.timer.now_ms();
         loop {
@@ -96,9 +97,9 @@
             self.inputs.guard.expire();
             self.read_document();
             let now_ms = self.inputs.timer.now_ms();
-            match self.held.clone() {
-                Some(held) => self.plan(&held, now_ms).await,
-                None if now_ms >= started_ms + CREATE_AFTER_MS => self.create().await,
+            match self.in_force.clone() {
+                Some(in_force) => self.plan(&in_force, now_ms).await,
+                None if now_ms >= started_ms + CREATE_WAIT_MS => self.create().await,
                 None => {}
             }
         }
@@ -106,12 +107,15 @@
 
     fn read_document(&mut self) {
         let document = self.inputs.document.borrow().clone();
-        let held_version = self.held.as_ref().map_or(0, |held| held.version);
-        let Some(document) = document.filter(|document| document.version > held_version) else {
+        let version_in_force = self
+            .in_force
+            .as_ref()
+            .map_or(0, |in_force| in_force.version);
+        let Some(document) = document.filter(|document| document.version > version_in_force) else {
             return;
         };
         match SliceTable::parse(&document.content) {
-            Ok(table) => self.follow(document.version, table),
+            Ok(table) => self.apply(document.version, table),
             Err(error) => {
                 let version = document.version;
                 event!(
@@ -122,13 +126,13 @@
         }
     }
 
-    fn follow(&mut self, version: u64, table: SliceTable) {
+    fn apply(&mut self, version: u64, table: SliceTable) {
         self.inputs.guard.observe_table(&table);
         self.inputs.quota.observe_table(&table);
-        // Told last: freshness counts from here on with this version.
-        let held = Arc::new(HeldTable { version, table });
-        self.held = Some(held.clone());
-        self.tables.send_replace(Some(held));
+        // Last: freshness relies on this version being in force from here on.
+        let in_force = Arc::new(HeldTable { version, table });
+        self.in_force = Some(in_force.clone());
+        self.table_sender.send_replace(Some(in_force));
     }
 
     async fn create(&mut self) {
@@ -142,80 +146,82 @@
         }
         let table = SliceTable::new(self.inputs.own.clone());
         let result = self.write(0, &table).await;
-        // After a lost answer the next look may show this table. Whether this
-        // process wrote it or an earlier one of the slot, which may have run
-        // keys since, cannot be told then; its past counts as unknown.
+        // If the response was lost, a later poll may show this table. It is then
+        // uncertain whether this process wrote it or an earlier process of the
+        // slot, which may have executed keys since, so the execution history
+        // counts as unknown.
         if let WriteResult::Written(version) = result {
-            self.inputs.guard.created_fleet();
-            self.follow(version, table);
+            self.inputs.guard.set_fleet_creator();
+            self.apply(version, table);
             self.inputs.quota.created_fleet();
         }
     }
 
     fn is_first_member(&self) -> bool {
         let view = self.inputs.view.borrow();
-        let mut usable = view.members.iter().filter(|member| member.is_usable());
-        usable
+        let mut usable_members = view.members.iter().filter(|member| member.is_usable());
+        usable_members
             .next()
             .is_none_or(|first| first.node_id == self.inputs.own.node_id)
     }
 
-    async fn plan(&mut self, held: &HeldTable, now_ms: u64) {
-        let HeldTable { version, table } = held;
+    async fn plan(&mut self, in_force: &HeldTable, now_ms: u64) {
+        let HeldTable { version, table } = in_force;
         let view = self.inputs.view.borrow().clone();
-        let observed = Observed {
+        let input = Observed {
             table,
             view: &view,
             freshness: self.inputs.freshness.borrow().at(now_ms),
             draining: *self.inputs.draining.borrow(),
             now_ms,
         };
-        let steps = self.planner.plan(observed);
+        let steps = self.planner.plan(input);
         if steps.is_empty() {
             return;
         }
         let next = table.with_steps(&self.inputs.own, &steps);
         let outgoing = self.release(&steps);
-        let result = self.write_until_known(*version, &next).await;
+        let result = self.write_until_result_known(*version, &next).await;
         if let WriteResult::Written(version) = result {
             log_steps(&steps);
-            self.follow(version, next.clone());
+            self.apply(version, next.clone());
             self.hand_over(outgoing, &next);
             return;
         }
-        self.resolve(*version, outgoing).await;
+        self.resolve_failed_write(*version, outgoing).await;
     }
 
-    /// Stops using what is given up, before the table is written: written
-    /// first, a pause in between would leave two owners.
-    fn release(&self, steps: &[Step]) -> Vec<Outgoing> {
+    /// Stops using the slices to be transferred. This happens before the table
+    /// is written: after the write, a process pause would leave two owners.
+    fn release(&self, steps: &[Step]) -> Vec<OutgoingTransfer> {
         let mut outgoing = Vec::new();
         for step in steps {
-            let Step::Give(moved) = step else {
+            let Step::Transfer(transfer) = step else {
                 continue;
             };
-            let exports = match moved.section {
-                Section::Keys => self.inputs.guard.release(&moved.slices),
+            let exports = match transfer.section {
+                Section::Keys => self.inputs.guard.release(&transfer.slices),
                 Section::Quota => {
-                    self.inputs.quota.release(&moved.slices);
+                    self.inputs.quota.release(&transfer.slices);
                     vec![]
                 }
             };
-            let moved = moved.clone();
-            outgoing.push(Outgoing { moved, exports });
+            let transfer = transfer.clone();
+            outgoing.push(OutgoingTransfer { transfer, exports });
         }
         outgoing
     }
 
-    /// Repeats a write whose answer was lost. It may take effect at any later
-    /// time, until the same write succeeds or the version has changed.
-    async fn write_until_known(&self, if_version: u64, table: &SliceTable) -> WriteResult {
+    /// Writes the table and repeats the write while its response is lost. A lost
+    /// write can still take effect at any time, until a repeated one succeeds or
+    /// the document's version changes.
+    async fn write_until_result_known(&self, if_version: u64, table: &SliceTable) -> WriteResult {
         loop {
             let result = self.write(if_version, table).await;
             if result != WriteResult::Unknown {
                 return result;
             }
-            tokio::time::sleep(Duration::from_millis(REWRITE_PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(WRITE_RETRY_PAUSE_MS)).await;
         }
     }
 
@@ -227,24 +233,26 @@
             .await
     }
 
-    /// Another write came first, or the own one did and its answer was lost:
-    /// the next version of the table tells.
-    async fn resolve(&mut self, version: u64, outgoing: Vec<Outgoing>) {
+    /// Waits for the next version of the table, which shows whether another
+    /// node's write came first or this node's write took effect although its
+    /// response was lost.
+    async fn resolve_failed_write(&mut self, version: u64, outgoing: Vec<OutgoingTransfer>) {
         let mut document = self.inputs.document.clone();
-        let is_newer = |held: &Option<Document>| held.as_ref().is_some_and(|d| d.version > version);
-        let Ok(newer) = document.wait_for(is_newer).await.map(|held| held.clone()) else {
+        let is_newer = |doc: &Option<Document>| doc.as_ref().is_some_and(|d| d.version > version);
+        let Ok(newer) = document.wait_for(is_newer).await.map(|doc| doc.clone()) else {
             return;
         };
         let Some(table) = newer.and_then(|newer| SliceTable::parse(&newer.content).ok()) else {
             return;
         };
-        // Before the table is followed, which would begin a history anew.
-        for part in &outgoing {
-            let kept = part
+        // Before the table is applied, which would start a new execution history
+        // for these slices.
+        for outgoing_transfer in &outgoing {
+            let kept_exports = outgoing_transfer
                 .exports
                 .iter()
                 .filter(|export| self.is_still_own(&table, export));
-            self.inputs.guard.restore(kept.cloned().collect());
+            self.inputs.guard.restore(kept_exports.cloned().collect());
         }
         self.read_document();
         self.hand_over(outgoing, &table);
@@ -256,9 +264,9 @@
             && owner.since_epoch == export.history.since_version
     }
 
-    fn hand_over(&self, outgoing: Vec<Outgoing>, table: &SliceTable) {
-        for part in outgoing {
-            let to = &part.moved.to.node_id;
+    fn hand_over(&self, outgoing: Vec<OutgoingTransfer>, table: &SliceTable) {
+        for outgoing_transfer in outgoing {
+            let to = &outgoing_transfer.transfer.to.node_id;
             let address = self
                 .inputs
                 .view
@@ -268,24 +276,28 @@
             let Some(address) = address else {
                 continue;
             };
-            let arrived = part.exports.into_iter().filter_map(|export| {
+            let moved_exports = outgoing_transfer.exports.into_iter().filter_map(|export| {
                 let owner = table.owners(Section::Keys)[export.slice.index()];
                 let has_moved = table.slot(owner.slot).node_id == *to;
                 has_moved.then_some(Handover {
                     export,
                     moved_by_version: owner.since_epoch,
-                    to_started_unix_ms: part.moved.to_started_unix_ms,
+                    to_started_unix_ms: outgoing_transfer.transfer.to_started_unix_ms,
                 })
             });
-            let handovers = arrived.collect();
-            tokio::spawn(send(self.inputs.client.clone(), address, handovers));
+            let handovers = moved_exports.collect();
+            tokio::spawn(send_handovers(
+                self.inputs.client.clone(),
+                address,
+                handovers,
+            ));
         }
     }
 }
 
-async fn send(client: RpcClient, address: SocketAddr, mut handovers: Vec<Handover>) {
-    for _ in 0..HANDOVER_TRIES {
-        handovers = send_once(&client, address, handovers).await;
+async fn send_handovers(client: RpcClient, address: SocketAddr, mut handovers: Vec<Handover>) {
+    for _ in 0..MAX_HANDOVER_ATTEMPTS {
+        handovers = send_handovers_once(&client, address, handovers).await;
         if handovers.is_empty() {
             return;
         }
@@ -293,41 +305,50 @@
     }
 }
 
-/// Returns what was not taken; stops at the first call without an answer.
-async fn send_once(
+/// Returns the handovers that were not accepted; stops at the first call
+/// without a response.
+async fn send_handovers_once(
     client: &RpcClient,
     address: SocketAddr,
     handovers: Vec<Handover>,
 ) -> Vec<Handover> {
-    let mut left = Vec::new();
+    let mut remaining = Vec::new();
     let mut handovers = handovers.into_iter();
     while let Some(handover) = handovers.next() {
         match client.hand_over(address, handover.clone()).await {
             Ok(true) => {}
-            Ok(false) => left.push(handover),
+            Ok(false) => remaining.push(handover),
             Err(_) => {
-                left.push(handover);
-                left.extend(handovers);
-                return left;
+                remaining.push(handover);
+                remaining.extend(handovers);
+                return remaining;
             }
         }
     }
-    left
+    remaining
 }
 
 fn log_steps(steps: &[Step]) {
     for step in steps {
         match step {
             Step::Suspect { node_id } => event!(Event::SlotSuspected, "slot={node_id}"),
-            Step::ClearMark => event!(Event::SlicesMoved, "cleared the mark on the own slot"),
-            Step::Claim => event!(Event::SlicesMoved, "claimed the own slot"),
-            Step::Take { node_id, .. } => event!(Event::SlicesMoved, "from={node_id} by=takeover"),
-            Step::Give(moved) => {
-                let (to, count) = (&moved.to.node_id, moved.slices.len());
+            Step::ClearSuspicion => event!(
+                Event::SlicesMoved,
+                "cleared the suspicion of the local slot"
+            ),
+            Step::Claim => event!(
+                Event::SlicesMoved,
+                "claimed the local slot from its predecessor"
+            ),
+            Step::TakeOver { node_id, .. } => {
+                event!(Event::SlicesMoved, "from={node_id} by=takeover");
+            }
+            Step::Transfer(transfer) => {
+                let (to, count) = (&transfer.to.node_id, transfer.slices.len());
                 event!(
                     Event::SlicesMoved,
                     "to={to} section={:?} count={count}",
-                    moved.section
+                    transfer.section
                 );
             }
         }
--- a/tests/guard_property.rs
+++ b/tests/guard_property.rs
@@ -1,10 +1,10 @@
-//! No interleaving of sends, losses, restarts, pauses and table changes runs
-//! an idempotency key twice.
+//! No interleaving of requests, losses, restarts, pauses and slice table changes
+//! executes an idempotency key twice.
 //!
-//! Three nodes share one slice. A send may stop between the home's decision
-//! and the target for any time, tables are taken over or handed on meanwhile,
-//! handed-over keys arrive late, twice or never. A user would notice a second
-//! execution as an order that has to be paid twice.
+//! Three nodes compete for one slice. A request may pause for any time between
+//! the home's decision and the target; meanwhile the slice is taken over or
+//! transferred, and handovers of keys arrive late, twice or never. A second
+//! execution would be, for example, an order that has to be paid twice.
 
 use {
     bolero::{TypeGenerator, check},
@@ -22,28 +22,50 @@
 const NODE_COUNT: usize = 3;
 const SCHEDULE_COUNT: usize = 20_000;
 const START_UNIX_MS: u64 = 1_700_000_000_000;
-/// Wall clocks of the nodes are this far apart at most.
-const NODE_CLOCK_MS: [u64; NODE_COUNT] = [0, 900, 1900];
+/// Offsets of the nodes' wall clocks; they differ by less than the guard's
+/// `CLOCK_MARGIN_MS`.
+const NODE_CLOCK_OFFSET_MS: [u64; NODE_COUNT] = [0, 900, 1900];
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Step {
-    Wait(u8),
-    LongWait,
-    NewKey { opaque: bool, clock: u8 },
-    Send { node: u8, key: u8 },
-    End { execution: u8, how: u8 },
-    Look { node: u8 },
-    Mark,
-    Take { node: u8 },
-    Give { to: u8, takes_effect: bool },
-    Deliver { handover: u8 },
-    Restart { node: u8 },
+    /// By this many times 8 ms.
+    AdvanceClock(u8),
+    AdvanceClockFar,
+    CreateKey {
+        opaque: bool,
+        clock: u8,
+    },
+    SendRequest {
+        node: u8,
+        key: u8,
+    },
+    EndExecution {
+        execution: u8,
+        result: u8,
+    },
+    PollPlatform {
+        node: u8,
+    },
+    SuspectOwner,
+    TakeOver {
+        node: u8,
+    },
+    Transfer {
+        to: u8,
+        takes_effect: bool,
+    },
+    DeliverHandover {
+        handover: u8,
+    },
+    Restart {
+        node: u8,
+    },
 }
 
 struct Node {
     guard: GuardTable,
-    looked_ms: Option<u64>,
-    seen_version: u64,
+    polled_ms: Option<u64>,
+    polled_version: u64,
     process: u32,
 }
 
@@ -51,25 +73,27 @@
     fn new(process: u32) -> Self {
         Self {
             guard: GuardTable::new(process.into()),
-            looked_ms: None,
-            seen_version: 0,
+            polled_ms: None,
+            polled_version: 0,
             process,
         }
     }
 }
 
-struct World {
+/// Simulated nodes with the slice table that they share, the executions that
+/// have not ended and the handovers in transit.
+struct Fixture {
     now_ms: u64,
     nodes: [Node; NODE_COUNT],
     version: u64,
     since_version: u64,
     owner: usize,
-    marked_ms: Option<u64>,
+    suspected_ms: Option<u64>,
     keys: Vec<KeyedRequest>,
-    /// Node, its process and the key.
+    /// Node, process of the node, and key.
     executions: Vec<(usize, u32, GuardKey)>,
     process_count: u32,
-    runs: HashMap<GuardKey, u32>,
+    execution_counts: HashMap<GuardKey, u32>,
     handovers: Vec<Handover>,
 }
 
@@ -80,42 +104,42 @@
     }
 }
 
-impl World {
+impl Fixture {
     fn new() -> Self {
-        let mut world = Self {
+        let mut fixture = Self {
             now_ms: 20_000,
             nodes: [Node::new(0), Node::new(1), Node::new(2)],
             version: 1,
             since_version: 1,
             owner: 0,
-            marked_ms: None,
+            suspected_ms: None,
             keys: vec![],
             executions: vec![],
             process_count: 2,
-            runs: HashMap::new(),
+            execution_counts: HashMap::new(),
             handovers: vec![],
         };
         let history = History {
             since_version: 1,
             known_since_unix_ms: 0,
         };
-        world.nodes[0].guard.hold(key(0).slice(), history);
-        world.look(0);
-        world
+        fixture.nodes[0].guard.hold(key(0).slice(), history);
+        fixture.poll_platform(0);
+        fixture
     }
 
     fn time(&self, node: usize) -> GuardTime {
         GuardTime {
             now_ms: self.now_ms,
-            unix_ms: START_UNIX_MS + self.now_ms + NODE_CLOCK_MS[node],
+            unix_ms: START_UNIX_MS + self.now_ms + NODE_CLOCK_OFFSET_MS[node],
         }
     }
 
     fn freshness(&self, node: usize) -> Freshness {
         let node = &self.nodes[node];
         let is_fresh = node
-            .looked_ms
-            .is_some_and(|at| self.now_ms < at + FRESH_LIMIT_MS);
+            .polled_ms
+            .is_some_and(|polled_ms| self.now_ms < polled_ms + FRESH_LIMIT_MS);
         if is_fresh {
             Freshness::Fresh
         } else {
@@ -123,22 +147,22 @@
         }
     }
 
-    /// A node looks at the platform; a marked owner clears its mark.
-    fn look(&mut self, node: usize) {
-        if self.owner == node && self.marked_ms.take().is_some() {
+    /// A node polls the platform; a suspected owner clears its suspicion.
+    fn poll_platform(&mut self, node: usize) {
+        if self.owner == node && self.suspected_ms.take().is_some() {
             self.version += 1;
         }
         let time = self.time(node);
         let state = &mut self.nodes[node];
-        state.looked_ms = Some(self.now_ms);
-        state.seen_version = self.version;
+        state.polled_ms = Some(self.now_ms);
+        state.polled_version = self.version;
         let slice = key(0).slice();
         if self.owner != node {
             state.guard.release(slice, time);
             return;
         }
-        let held = state.guard.history(slice);
-        if held.is_some_and(|held| held.since_version == self.since_version) {
+        let history = state.guard.history(slice);
+        if history.is_some_and(|history| history.since_version == self.since_version) {
             return;
         }
         state.guard.release(slice, time);
@@ -153,26 +177,26 @@
         self.version += 1;
         self.since_version = self.version;
         self.owner = node;
-        self.marked_ms = None;
+        self.suspected_ms = None;
     }
 
-    fn step(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
-            Step::Wait(ms) => self.now_ms += u64::from(ms) * 8,
-            Step::LongWait => self.now_ms += FRESH_LIMIT_MS + DRIFT_MARGIN_MS,
-            Step::NewKey { opaque, clock } => self.new_key(opaque, clock),
-            Step::Send { node, key } => self.send(usize::from(node) % NODE_COUNT, key),
-            Step::End { execution, how } => self.end(execution, how),
-            Step::Look { node } => self.look(usize::from(node) % NODE_COUNT),
-            Step::Mark => {
+            Step::AdvanceClock(count) => self.now_ms += u64::from(count) * 8,
+            Step::AdvanceClockFar => self.now_ms += FRESH_LIMIT_MS + DRIFT_MARGIN_MS,
+            Step::CreateKey { opaque, clock } => self.create_key(opaque, clock),
+            Step::SendRequest { node, key } => self.send(usize::from(node) % NODE_COUNT, key),
+            Step::EndExecution { execution, result } => self.end_execution(execution, result),
+            Step::PollPlatform { node } => self.poll_platform(usize::from(node) % NODE_COUNT),
+            Step::SuspectOwner => {
                 self.version += 1;
-                self.marked_ms = self.marked_ms.or(Some(self.now_ms));
+                self.suspected_ms = self.suspected_ms.or(Some(self.now_ms));
             }
-            Step::Take { node } => self.take(usize::from(node) % NODE_COUNT),
-            Step::Give { to, takes_effect } => {
-                self.give(usize::from(to) % NODE_COUNT, takes_effect);
+            Step::TakeOver { node } => self.take_over(usize::from(node) % NODE_COUNT),
+            Step::Transfer { to, takes_effect } => {
+                self.transfer(usize::from(to) % NODE_COUNT, takes_effect);
             }
-            Step::Deliver { handover } => self.deliver(handover),
+            Step::DeliverHandover { handover } => self.deliver_handover(handover),
             Step::Restart { node } => self.restart(usize::from(node) % NODE_COUNT),
         }
     }
@@ -182,12 +206,12 @@
         self.nodes[node] = Node::new(self.process_count);
     }
 
-    fn new_key(&mut self, opaque: bool, clock: u8) {
-        // Callers' clocks are up to two seconds ahead and eight behind.
-        let made_ms = START_UNIX_MS + self.now_ms + 2000 - u64::from(clock) * 40;
+    fn create_key(&mut self, opaque: bool, clock: u8) {
+        // Callers' clocks are up to 2 s ahead of the nodes' and 8 s behind.
+        let created_ms = START_UNIX_MS + self.now_ms + 2000 - u64::from(clock) * 40;
         let request = KeyedRequest {
             key: key(self.keys.len()),
-            made_unix_ms: (!opaque).then_some(made_ms),
+            created_unix_ms: (!opaque).then_some(created_ms),
             fingerprint: 1,
         };
         self.keys.push(request);
@@ -204,42 +228,45 @@
         }
     }
 
-    fn end(&mut self, execution: u8, how: u8) {
+    fn end_execution(&mut self, execution: u8, result: u8) {
         if self.executions.is_empty() {
             return;
         }
-        let place = usize::from(execution) % self.executions.len();
-        let (node, process, key) = self.executions.swap_remove(place);
-        let answer = StoredAnswer {
+        let index = usize::from(execution) % self.executions.len();
+        let (node, process, key) = self.executions.swap_remove(index);
+        let response = StoredAnswer {
             status: 200,
             headers: vec![],
             body: "done".into(),
         };
-        let finish = match how % 3 {
+        let finish = match result % 3 {
             0 => Finish::NotRun,
             1 => Finish::Unknown,
-            _ => Finish::Answered(answer),
+            _ => Finish::Answered(response),
         };
         if finish != Finish::NotRun {
-            *self.runs.entry(key).or_default() += 1;
+            *self.execution_counts.entry(key).or_default() += 1;
         }
         let time = self.time(node);
-        // What a process learns of its execution, its successor does not.
+        // A restarted process does not know results of its predecessor.
         if self.nodes[node].process == process {
             self.nodes[node].guard.finish(key, finish, time);
         }
     }
 
-    fn take(&mut self, node: usize) {
+    fn take_over(&mut self, node: usize) {
         let wait_ms = FRESH_LIMIT_MS + DRIFT_MARGIN_MS;
-        if self.marked_ms.is_some_and(|at| self.now_ms >= at + wait_ms) {
+        if self
+            .suspected_ms
+            .is_some_and(|since_ms| self.now_ms >= since_ms + wait_ms)
+        {
             self.move_to(node);
         }
     }
 
-    fn give(&mut self, to: usize, takes_effect: bool) {
+    fn transfer(&mut self, to: usize, takes_effect: bool) {
         let owner = self.owner;
-        let is_current = self.nodes[owner].seen_version == self.version;
+        let is_current = self.nodes[owner].polled_version == self.version;
         if !is_current || self.freshness(owner) == Freshness::CutOff {
             return;
         }
@@ -258,7 +285,7 @@
         }
     }
 
-    fn deliver(&mut self, handover: u8) {
+    fn deliver_handover(&mut self, handover: u8) {
         if let Some(handover) = pick(&self.handovers, handover).cloned() {
             let (owner, time) = (self.owner, self.time(self.owner));
             self.nodes[owner].guard.import(handover, time);
@@ -277,59 +304,63 @@
         .with_max_len(4096)
         .with_type::<Vec<Step>>()
         .for_each(|steps| {
-            let mut world = World::new();
+            let mut fixture = Fixture::new();
             for step in steps {
-                world.step(*step);
+                fixture.apply(*step);
                 assert!(
-                    world.runs.values().all(|runs| *runs <= 1),
+                    fixture.execution_counts.values().all(|count| *count <= 1),
                     "{:?}",
-                    world.runs
+                    fixture.execution_counts
                 );
             }
         });
 }
 
+/// Guards against a property test that passes only because its schedules reach
+/// hardly any execution or move of the slice.
 #[test]
 fn the_property_reaches_executions_after_takeovers_and_handovers() {
     use rand::{Rng, SeedableRng, rngs::StdRng};
     let mut random = StdRng::seed_from_u64(4);
-    let (mut run_count, mut moved_count) = (0, 0);
+    let (mut execution_count, mut moved_count) = (0, 0);
     for _ in 0..SCHEDULE_COUNT {
-        let mut world = World::new();
+        let mut fixture = Fixture::new();
         for _ in 0..400 {
             let (a, b) = (random.random::<u8>(), random.random::<u8>());
-            world.step(match random.random_range(0..30) {
-                0..4 => Step::Wait(a),
-                4 => Step::LongWait,
-                5..8 => Step::NewKey {
+            fixture.apply(match random.random_range(0..30) {
+                0..4 => Step::AdvanceClock(a),
+                4 => Step::AdvanceClockFar,
+                5..8 => Step::CreateKey {
                     opaque: a < 64,
                     clock: b,
                 },
-                8..14 => Step::Send { node: a, key: b },
-                14..17 => Step::End {
+                8..14 => Step::SendRequest { node: a, key: b },
+                14..17 => Step::EndExecution {
                     execution: a,
-                    how: b,
+                    result: b,
                 },
-                17..24 => Step::Look { node: a },
-                24 => Step::Mark,
-                25 => Step::Take { node: a },
-                26 => Step::Give {
+                17..24 => Step::PollPlatform { node: a },
+                24 => Step::SuspectOwner,
+                25 => Step::TakeOver { node: a },
+                26 => Step::Transfer {
                     to: a,
                     takes_effect: b < 200,
                 },
-                27..29 => Step::Deliver { handover: a },
+                27..29 => Step::DeliverHandover { handover: a },
                 _ if b < 64 => Step::Restart { node: a },
-                _ => Step::Wait(b),
+                _ => Step::AdvanceClock(b),
             });
             assert!(
-                world.runs.values().all(|runs| *runs <= 1),
+                fixture.execution_counts.values().all(|count| *count <= 1),
                 "{:?}",
-                world.runs
+                fixture.execution_counts
             );
         }
-        run_count += world.runs.len();
-        moved_count += usize::from(world.since_version > 1);
+        execution_count += fixture.execution_counts.len();
+        moved_count += usize::from(fixture.since_version > 1);
     }
-    println!("{run_count} keys run, slice moved in {moved_count} of {SCHEDULE_COUNT} schedules");
-    assert!(run_count > SCHEDULE_COUNT && moved_count > SCHEDULE_COUNT / 4);
+    println!(
+        "{execution_count} keys executed, slice moved in {moved_count} of {SCHEDULE_COUNT} schedules"
+    );
+    assert!(execution_count > SCHEDULE_COUNT && moved_count > SCHEDULE_COUNT / 4);
 }
--- a/tests/slices.rs
+++ b/tests/slices.rs
@@ -1,12 +1,13 @@
-//! The slice table: document, shares, giving up, takeover by silence.
+//! The slice table: encoding, shares of members, transfers, and takeover of a
+//! slot whose node is gone.
 
 use {
     dogwoodbridge::{
         freshness::Freshness,
         membership::{Member, MemberPorts, MemberState, View},
         slices::{
-            Observed, Planner, SLICE_COUNT, SUSPECT_PERIOD_MS, Section, SliceTable, SlicesError,
-            Slot, Step, TAKEOVER_WAIT_MS, UNKNOWN_WAIT_MS,
+            MISSING_WAIT_MS, Observed, Planner, SLICE_COUNT, SUSPECT_PERIOD_MS, Section,
+            SliceTable, SliceTableError, Slot, Step, TAKEOVER_WAIT_MS,
         },
     },
     std::collections::BTreeMap,
@@ -32,7 +33,7 @@
     }
 }
 
-/// Nodes that all see the same members and write to one table.
+/// Simulated nodes that share one membership view and write to one table.
 struct Fleet {
     view: View,
     planners: Vec<Planner>,
@@ -49,7 +50,7 @@
         let slots = members.iter().map(Slot::new);
         let planners: Vec<Planner> = slots.map(Planner::new).collect();
         Self {
-            table: SliceTable::new(planners[0].own().clone()),
+            table: SliceTable::new(planners[0].own_slot().clone()),
             view: View { members },
             planners,
             now_ms: 0,
@@ -61,9 +62,9 @@
         self.view.members[index].state = state;
     }
 
-    /// All planners look at the same table; one of those that would write
-    /// succeeds, as with conditional writes.
-    fn round(&mut self) -> Option<(String, Vec<Step>)> {
+    /// Runs all planners on the same table. Of those that want to write, one
+    /// succeeds, as with conditional writes; returns its node and steps.
+    fn plan_round(&mut self) -> Option<(String, Vec<Step>)> {
         self.now_ms += 500;
         let mut written = None;
         let members = self.view.members.iter();
@@ -82,28 +83,32 @@
                 vec![]
             };
             if !steps.is_empty() && written.is_none() {
-                written = Some((planner.own().clone(), steps));
+                written = Some((planner.own_slot().clone(), steps));
             }
         }
-        let (own, steps) = written?;
-        self.table = self.table.with_steps(&own, &steps);
+        let (own_slot, steps) = written?;
+        self.table = self.table.with_steps(&own_slot, &steps);
         self.write_count += 1;
-        Some((own.node_id, steps))
+        Some((own_slot.node_id, steps))
     }
 
-    fn settle(&mut self) {
-        let mut quiet_count = 0;
+    /// Runs planning rounds until 31 in a row change nothing.
+    fn run_until_stable(&mut self) {
+        let mut unchanged_round_count = 0;
         for _ in 0..2000 {
-            quiet_count = if self.round().is_some() {
+            unchanged_round_count = if self.plan_round().is_some() {
                 0
             } else {
-                quiet_count + 1
+                unchanged_round_count + 1
             };
-            if quiet_count > 30 {
+            if unchanged_round_count > 30 {
                 return;
             }
         }
-        panic!("the table does not settle: {} writes", self.write_count);
+        panic!(
+            "the table still changes after 2000 rounds: {} writes",
+            self.write_count
+        );
     }
 
     fn zone_counts(&self, section: Section) -> BTreeMap<&str, usize> {
@@ -115,16 +120,16 @@
         counts
     }
 
-    fn count(&self, section: Section, index: usize) -> usize {
+    fn slice_count(&self, section: Section, index: usize) -> usize {
         let slot = self.table.find(&self.view.members[index].node_id);
         slot.map_or(0, |slot| self.table.counts(section)[slot.index()])
     }
 }
 
 #[test]
-fn a_fleet_of_580_shares_the_slices_in_a_few_kilobytes() {
+fn the_table_of_580_nodes_is_balanced_and_takes_a_few_kilobytes() {
     let mut fleet = Fleet::new(6, 97);
-    fleet.settle();
+    fleet.run_until_stable();
     for section in Section::ALL {
         let counts = fleet.zone_counts(section);
         assert_eq!(counts.len(), 6, "{counts:?}");
@@ -144,64 +149,72 @@
     assert_eq!(SliceTable::parse(&content), Ok(fleet.table));
 }
 
-/// A node dies. Its share of every workspace's rate lies idle, and keyed
-/// orders that hash to it are refused, until a neighbour takes it over.
+/// A node dies. Until a member of its zone takes over its slices, its share of
+/// every workspace's rate is unused and requests with keys in them are refused.
 #[test]
-fn a_dead_owner_is_marked_and_taken_over_after_the_wait() {
+fn a_dead_owner_is_suspected_and_taken_over_after_the_wait() {
     let mut fleet = Fleet::new(2, 3);
-    fleet.settle();
-    let lost_count = fleet.count(Section::Quota, 1);
-    assert!(lost_count > 0);
+    fleet.run_until_stable();
+    let dead_owner_slice_count = fleet.slice_count(Section::Quota, 1);
+    assert!(dead_owner_slice_count > 0);
     fleet.set_state(1, MemberState::Dead);
-    let (_, steps) = fleet.round().expect("a mark");
+    let (_, steps) = fleet.plan_round().expect("a suspicion");
     assert!(matches!(&steps[..], [Step::Suspect { .. }]));
-    let marked_ms = fleet.now_ms;
-    let (taker, steps) = loop {
-        if let Some(written) = fleet.round() {
+    let suspected_ms = fleet.now_ms;
+    let (new_owner, steps) = loop {
+        if let Some(written) = fleet.plan_round() {
             break written;
         }
     };
-    assert!(matches!(&steps[..], [Step::Take { sections, .. }] if sections.len() == 2));
-    assert!(fleet.now_ms >= marked_ms + TAKEOVER_WAIT_MS);
-    assert!(taker.starts_with("n-0-"), "{taker}");
-    assert_eq!(fleet.count(Section::Quota, 1), 0);
-    fleet.settle();
+    assert!(matches!(&steps[..], [Step::TakeOver { sections, .. }] if sections.len() == 2));
+    assert!(fleet.now_ms >= suspected_ms + TAKEOVER_WAIT_MS);
+    assert!(new_owner.starts_with("n-0-"), "{new_owner}");
+    assert_eq!(fleet.slice_count(Section::Quota, 1), 0);
+    fleet.run_until_stable();
     assert!(fleet.zone_counts(Section::Quota)["z0"] >= SLICE_COUNT * 2 / 5);
 }
 
-/// An owner was cut off for a moment and is suspected though it is alive. It
-/// must not lose its slices while it can say so.
+/// An owner is suspected after a brief partition although it is alive. It must
+/// not lose its slices while it can clear the suspicion.
 #[test]
-fn a_live_owner_clears_its_mark() {
+fn a_live_owner_clears_its_suspicion() {
     let mut fleet = Fleet::new(2, 3);
-    fleet.settle();
-    let own_count = fleet.count(Section::Keys, 1);
+    fleet.run_until_stable();
+    let own_count = fleet.slice_count(Section::Keys, 1);
     fleet.set_state(1, MemberState::Dead);
-    fleet.round().expect("a mark");
-    let own = fleet.planners[1].own().clone();
-    assert_eq!(fleet.table.usable_slot(&own.node_id, own.ip), None);
+    fleet.plan_round().expect("a suspicion");
+    let own_slot = fleet.planners[1].own_slot().clone();
+    assert_eq!(
+        fleet.table.usable_slot(&own_slot.node_id, own_slot.ip),
+        None
+    );
     fleet.set_state(1, MemberState::Alive);
-    let (writer, steps) = fleet.round().expect("an answer to the mark");
+    let (writer, steps) = fleet.plan_round().expect("a cleared suspicion");
     assert_eq!(
         (writer, steps),
-        (own.node_id.clone(), vec![Step::ClearMark])
+        (own_slot.node_id.clone(), vec![Step::ClearSuspicion])
+    );
+    assert!(
+        fleet
+            .table
+            .usable_slot(&own_slot.node_id, own_slot.ip)
+            .is_some()
     );
-    assert!(fleet.table.usable_slot(&own.node_id, own.ip).is_some());
-    fleet.settle();
-    assert_eq!(fleet.count(Section::Keys, 1), own_count);
+    fleet.run_until_stable();
+    assert_eq!(fleet.slice_count(Section::Keys, 1), own_count);
 }
 
-/// Nodes of a fleet start together and some know only a few members yet. They
-/// took the slots of all others for gone: marks and clearings followed each
-/// other a hundred times a second, and 7 of 10 requests inside their rate were
-/// refused for the first 20 s.
+/// The nodes of a fleet start together and some know only a few members yet. When
+/// they treated unknown members as gone, slots were suspected and cleared a
+/// hundred times per second, and 7 of 10 requests within their rate were refused
+/// for the first 20 s.
 #[test]
-fn a_slot_that_is_not_known_yet_is_not_marked() {
+fn a_slot_whose_node_is_not_known_yet_is_not_suspected() {
     let fleet = Fleet::new(1, 2);
     let view = View {
         members: vec![fleet.view.members[1].clone()],
     };
-    let mut planner = Planner::new(fleet.planners[1].own().clone());
+    let mut planner = Planner::new(fleet.planners[1].own_slot().clone());
     let mut plan = |now_ms| {
         planner.plan(Observed {
             table: &fleet.table,
@@ -212,23 +225,23 @@
         })
     };
     assert_eq!(plan(0), []);
-    assert_eq!(plan(UNKNOWN_WAIT_MS - 1), []);
-    assert!(matches!(plan(UNKNOWN_WAIT_MS)[..], [Step::Suspect { .. }]));
+    assert_eq!(plan(MISSING_WAIT_MS - 1), []);
+    assert!(matches!(plan(MISSING_WAIT_MS)[..], [Step::Suspect { .. }]));
 }
 
-/// Gossip does not reach an owner, but the platform does. It clears each mark
-/// at once; the node that marks it must not answer each clearing with a mark.
+/// An owner reaches the platform, but gossip does not reach it. It clears each
+/// suspicion at once; other nodes must not suspect it again immediately.
 #[test]
-fn a_cleared_mark_is_not_set_again_at_once() {
+fn a_cleared_suspicion_is_not_set_again_at_once() {
     let mut fleet = Fleet::new(2, 3);
-    fleet.settle();
+    fleet.run_until_stable();
     fleet.set_state(1, MemberState::Dead);
-    fleet.round().expect("a mark");
-    let own = fleet.planners[1].own().clone();
-    fleet.table = fleet.table.with_steps(&own, &[Step::ClearMark]);
+    fleet.plan_round().expect("a suspicion");
+    let own_slot = fleet.planners[1].own_slot().clone();
+    fleet.table = fleet.table.with_steps(&own_slot, &[Step::ClearSuspicion]);
     let cleared_ms = fleet.now_ms;
     let (_, steps) = loop {
-        if let Some(written) = fleet.round() {
+        if let Some(written) = fleet.plan_round() {
             break written;
         }
     };
@@ -236,59 +249,66 @@
     assert!(fleet.now_ms >= cleared_ms + SUSPECT_PERIOD_MS);
 }
 
-/// A whole zone disappears. Its keys find new homes elsewhere; its quota
-/// stays, since the zone may be alive behind a partition and go on serving
-/// on it.
+/// A whole zone disappears. Its keys get homes in other zones. Its quota stays,
+/// since the zone may be alive behind a partition and still use it.
 #[test]
-fn quota_of_a_lost_zone_stays_with_it() {
+fn quota_of_a_lost_zone_stays_in_the_zone() {
     let mut fleet = Fleet::new(2, 2);
-    fleet.settle();
+    fleet.run_until_stable();
     let quota_counts = fleet.zone_counts(Section::Quota)["z1"];
     for index in [2, 3] {
         fleet.set_state(index, MemberState::Dead);
     }
-    fleet.settle();
+    fleet.run_until_stable();
     assert_eq!(fleet.zone_counts(Section::Quota)["z1"], quota_counts);
     assert_eq!(fleet.zone_counts(Section::Keys)["z1"], 0);
 }
 
 #[test]
-fn a_draining_node_gives_everything_away() {
+fn a_draining_node_transfers_all_its_slices() {
     let mut fleet = Fleet::new(2, 3);
-    fleet.settle();
+    fleet.run_until_stable();
     fleet.set_state(4, MemberState::Draining);
-    fleet.settle();
+    fleet.run_until_stable();
     for section in Section::ALL {
-        assert_eq!(fleet.count(section, 4), 0);
+        assert_eq!(fleet.slice_count(section, 4), 0);
         assert!(fleet.zone_counts(section)["z1"] > SLICE_COUNT / 4);
     }
 }
 
-/// An instance is replaced while its predecessor hangs. Both would use the
-/// slot's slices if the name alone decided.
+/// An instance is replaced while its predecessor hangs. If the slot's name
+/// alone decided, both would use its slices.
 #[test]
 fn a_replacement_at_another_address_waits_before_it_claims_its_slot() {
     let mut fleet = Fleet::new(1, 2);
-    fleet.settle();
+    fleet.run_until_stable();
     fleet.view.members[1].ip = [127, 0, 9, 9].into();
-    let own = Slot::new(&fleet.view.members[1]);
-    fleet.planners[1] = Planner::new(own.clone());
-    assert_eq!(fleet.table.usable_slot(&own.node_id, own.ip), None);
-    let (_, steps) = fleet.round().expect("a mark on its own slot");
+    let own_slot = Slot::new(&fleet.view.members[1]);
+    fleet.planners[1] = Planner::new(own_slot.clone());
+    assert_eq!(
+        fleet.table.usable_slot(&own_slot.node_id, own_slot.ip),
+        None
+    );
+    let (_, steps) = fleet.plan_round().expect("a suspicion of its own slot");
     assert!(matches!(&steps[..], [Step::Suspect { .. }]));
-    let marked_ms = fleet.now_ms;
+    let suspected_ms = fleet.now_ms;
     let (_, steps) = loop {
-        if let Some(written) = fleet.round() {
+        if let Some(written) = fleet.plan_round() {
             break written;
         }
     };
     assert_eq!(steps, [Step::Claim]);
-    assert!(fleet.now_ms >= marked_ms + TAKEOVER_WAIT_MS);
-    assert!(fleet.table.usable_slot(&own.node_id, own.ip).is_some());
+    assert!(fleet.now_ms >= suspected_ms + TAKEOVER_WAIT_MS);
+    assert!(
+        fleet
+            .table
+            .usable_slot(&own_slot.node_id, own_slot.ip)
+            .is_some()
+    );
 }
 
 #[test]
-fn nothing_is_planned_without_fresh_knowledge() {
+fn nothing_is_planned_without_freshness() {
     let mut fleet = Fleet::new(1, 2);
     for freshness in [Freshness::StoreDown, Freshness::CutOff] {
         let observed = Observed {
@@ -303,14 +323,14 @@
 }
 
 #[test]
-fn malformed_documents_are_refused() {
+fn malformed_documents_are_rejected() {
     let content = SliceTable::new(Slot::new(&member(0, 0))).serialise();
     for length in 0..content.len() - 1 {
         let parsed = SliceTable::parse(&content[..length]);
         assert!(
             matches!(
                 parsed,
-                Err(SlicesError::Malformed { .. } | SlicesError::SliceCount { .. })
+                Err(SliceTableError::Malformed { .. } | SliceTableError::SliceCount { .. })
             ),
             "{length}"
         );
