--- a/src/freshness/mod.rs
+++ b/src/freshness/mod.rs
@@ -1,9 +1,8 @@
 //! Freshness: how far a node may rely on the platform documents it holds.
 //!
-//! A node that is cut off from the platform could go on using slices that a
-//! newer slice table assigns to another node. It uses them only while a recent
-//! poll, its own or another node's, confirms that its documents are current, or
-//! while no zone reaches the platform.
+//! A node that is cut off could use slices that a newer table assigns to another
+//! node. It uses them only while a recent poll, its own or another node's,
+//! confirms its documents, or while no zone reaches the platform.
 
 mod task;
 mod tracker;
--- a/src/freshness/tracker.rs
+++ b/src/freshness/tracker.rs
@@ -12,10 +12,9 @@
 
 /// A freshness state with the time until which it is valid.
 ///
-/// Otherwise a process that was paused would continue with the state from
-/// before the pause although its slices were taken over, and a request could
-/// run twice. Read the state with [`Snapshot::at`] at the moment of acting on
-/// it.
+/// A process that was paused could otherwise act on the state from before the
+/// pause after its slices were taken over, and a request could run twice. Read
+/// the state with [`Snapshot::at`] right before acting on it.
 #[derives::key]
 pub struct Snapshot {
     /// State when the snapshot was taken.
@@ -97,10 +96,9 @@
 
     /// Records the zones of the members and of the slice table's slots.
     ///
-    /// If a zone is cut off as a whole, all its members are declared dead. If
-    /// its replies were then no longer required, this node could derive
-    /// [`Freshness::StoreDown`] and continue alone. A zone therefore stays known
-    /// until all its members have left voluntarily.
+    /// All members of a zone that is cut off are declared dead. Without its
+    /// replies, this node would derive [`Freshness::StoreDown`] and continue
+    /// alone, so a zone stays known until all its members left voluntarily.
     pub fn observe_zones<'a>(
         &mut self,
         view: &View,
--- a/src/guard/home.rs
+++ b/src/guard/home.rs
@@ -1,5 +1,4 @@
-//! The node's home for idempotency keys: the key table behind a lock, together
-//! with the clock, the freshness state and the slice table.
+//! The node's home for idempotency keys: key table, clock and freshness state.
 
 use {
     super::{
--- a/src/guard/mod.rs
+++ b/src/guard/mod.rs
@@ -1,8 +1,7 @@
 //! At most one execution for each idempotency key.
 //!
-//! A resent request could run twice, also after its slice of keys moved to
-//! another node. The key's home records every execution, replays its response
-//! and refuses keys that may have run at an earlier home.
+//! The key's home records executions, replays their responses to resends, and
+//! refuses keys that may have run at an earlier home.
 
 mod home;
 mod table;
--- a/src/guard/table.rs
+++ b/src/guard/table.rs
@@ -184,11 +184,10 @@
     /// Imports the keys of a slice that was released to this process; false if
     /// the handover is rejected.
     ///
-    /// A late handover lacks the executions since it was made: those at other
-    /// homes if the slice moved away and back, this node's own if it restarted
-    /// or already imported a copy. A key could then run twice. So a handover
-    /// is accepted once, and only for its own move of the slice and for the
-    /// process that was running before that move.
+    /// A late handover lacks executions since it was made, at other homes if the
+    /// slice moved away and back, or here if this node restarted or has imported
+    /// a copy; a key could run twice. So it is accepted once, only for its own
+    /// move of the slice and by the process that ran before that move.
     pub fn import(&mut self, handover: Handover, time: GuardTime) -> bool {
         let Handover { export, .. } = handover;
         let Some(held) = self.held_slices.get_mut(&export.slice) else {
--- a/src/slices/mod.rs
+++ b/src/slices/mod.rs
@@ -1,8 +1,8 @@
 //! Ownership of the slices of quota and idempotency keys.
 //!
-//! The slice table names one owner for each slice. Two nodes that used a slice
-//! at the same time could admit its rate twice or execute a key twice, so a
-//! slice moves only after its owner released it or must have stopped using it.
+//! Two nodes that use a slice at the same time could admit its rate twice or
+//! execute a key twice. So each slice has one owner, and moves only after that
+//! owner released it or must have stopped using it.
 
 mod codec;
 mod plan;
--- a/src/slices/task.rs
+++ b/src/slices/task.rs
@@ -146,10 +146,9 @@
         }
         let table = SliceTable::new(self.inputs.own.clone());
         let result = self.write(0, &table).await;
-        // If the response was lost, a later poll may show this table. It is then
-        // uncertain whether this process wrote it or an earlier process of the
-        // slot, which may have executed keys since, so the execution history
-        // counts as unknown.
+        // After a lost response, a later poll may show this table. This process
+        // or an earlier one of the slot, which may have executed keys since, may
+        // have written it, so the execution history counts as unknown.
         if let WriteResult::Written(version) = result {
             self.inputs.guard.set_fleet_creator();
             self.apply(version, table);
@@ -212,9 +211,8 @@
         outgoing
     }
 
-    /// Writes the table and repeats the write while its response is lost. A lost
-    /// write can still take effect at any time, until a repeated one succeeds or
-    /// the document's version changes.
+    /// Repeats a write while its response is lost. It can take effect at any time,
+    /// until a repeated write succeeds or the version has changed.
     async fn write_until_result_known(&self, if_version: u64, table: &SliceTable) -> WriteResult {
         loop {
             let result = self.write(if_version, table).await;
@@ -233,9 +231,8 @@
             .await
     }
 
-    /// Waits for the next version of the table, which shows whether another
-    /// node's write came first or this node's write took effect although its
-    /// response was lost.
+    /// Waits for the next version of the table, which shows whether another write
+    /// came first or the response to this node's write was lost.
     async fn resolve_failed_write(&mut self, version: u64, outgoing: Vec<OutgoingTransfer>) {
         let mut document = self.inputs.document.clone();
         let is_newer = |doc: &Option<Document>| doc.as_ref().is_some_and(|d| d.version > version);
--- a/tests/guard.rs
+++ b/tests/guard.rs
@@ -211,9 +211,8 @@
     }
 }
 
-/// A slice moves to another home. Without the handed-over keys and history, the
-/// new home could not replay responses; with a misdirected or repeated handover
-/// it could execute a key twice.
+/// A slice moves to another home, which must replay the stored responses. A
+/// misdirected or repeated handover could make it execute a key twice.
 #[test]
 fn a_planned_move_keeps_keys_and_history() {
     let (mut previous_home, mut next_home) = (home(None), GuardTable::new(1));
--- a/tests/guard_property.rs
+++ b/tests/guard_property.rs
@@ -80,8 +80,7 @@
     }
 }
 
-/// Simulated nodes with the slice table that they share, the executions that
-/// have not ended and the handovers in transit.
+/// Simulated nodes, slice table, running executions and handovers in transit.
 struct Fixture {
     now_ms: u64,
     nodes: [Node; NODE_COUNT],
