--- a/src/routing/ejection.rs
+++ b/src/routing/ejection.rs
@@ -2,50 +2,52 @@
 
 use super::target::{Health, TRIAL_US, Target};
 
-/// Failures in a row after which a target is ejected.
+/// Consecutive failures after which a target is ejected.
 const FAILURE_LIMIT: u32 = 5;
-/// Latency over the peers' median from which a target is ejected.
-const SLOW_RATIO: f64 = 5.0;
-/// Least difference to the median that counts; below it nobody notices.
-const SLOW_MARGIN_US: f64 = 20_000.0;
-/// Fewest samples on which a target is judged as slow.
-const SLOW_SAMPLE_COUNT: u32 = 10;
-/// Fewest targets with samples for a median to mean anything.
-const MEDIAN_TARGET_COUNT: usize = 3;
-/// First ejection; each further one lasts twice as long.
-const FIRST_EJECTION_US: u64 = 1_000_000;
-/// Longest ejection.
-const LONGEST_EJECTION_US: u64 = 30_000_000;
+/// Ratio of its latency to the peers' median above which a target is ejected.
+const SLOW_LATENCY_RATIO: f64 = 5.0;
+/// Minimum latency above the median for an ejection; callers do not notice less.
+const SLOW_LATENCY_MARGIN_US: f64 = 20_000.0;
+/// Minimum number of samples for an ejection by latency.
+const MIN_SAMPLE_COUNT: u32 = 10;
+/// Minimum number of targets with samples for a meaningful median.
+const MIN_PEER_COUNT: usize = 3;
+/// Duration of the first ejection; it doubles with each further one.
+const INITIAL_EJECTION_US: u64 = 1_000_000;
+/// Maximum duration of an ejection.
+const MAX_EJECTION_US: u64 = 30_000_000;
 
-/// Most targets of a service that may be ejected at a time: half of them.
-/// When more seem to fail, the fault is probably this node's own or lies in
-/// their dependency, and sending everything to the rest would end them too.
+/// Maximum number of a service's targets that may be ejected at a time: half.
+/// If more seem to fail, the fault is probably in this node or in a dependency
+/// that they share, and the whole load would overload the remaining ones too.
 #[must_use]
 pub const fn ejection_limit(target_count: usize) -> usize {
     target_count / 2
 }
 
-/// Median latency of the targets of a service, if enough of them have one.
+/// Median of the mean latencies of a service's targets; `None` without any.
 #[must_use]
 pub fn median_us(mut means_us: Vec<f64>) -> Option<f64> {
     if means_us.is_empty() {
         return None;
     }
     means_us.sort_by(f64::total_cmp);
-    // The lower one of two: it is the slow one that has to stand out.
+    // Of two middle values the lower one, so that the slower target stands out.
     Some(means_us[(means_us.len() - 1) / 2])
 }
 
 impl Target {
-    /// Whether it should be ejected, seen against its peers.
+    /// Whether the target should be ejected: too many consecutive failures, or
+    /// far slower than its peers.
     #[must_use]
-    pub fn is_unfit(&self, median_us: f64, peer_count: usize) -> bool {
-        let is_slow = peer_count >= MEDIAN_TARGET_COUNT
-            && self.latency.sample_count() >= SLOW_SAMPLE_COUNT
+    pub fn should_eject(&self, median_us: f64, peer_count: usize) -> bool {
+        let is_slow = peer_count >= MIN_PEER_COUNT
+            && self.latency.sample_count() >= MIN_SAMPLE_COUNT
             && self.latency.mean_us().is_some_and(|mean_us| {
-                mean_us > median_us * SLOW_RATIO && mean_us > median_us + SLOW_MARGIN_US
+                mean_us > median_us * SLOW_LATENCY_RATIO
+                    && mean_us > median_us + SLOW_LATENCY_MARGIN_US
             });
-        // In a trial one failure suffices: it is known to have failed before.
+        // During a trial one failure is enough, since the target was ejected before.
         let failure_limit = match self.health {
             Health::Trial { .. } => 1,
             Health::Healthy | Health::Ejected { .. } => FAILURE_LIMIT,
@@ -53,25 +55,25 @@
         !self.is_ejected() && (self.failure_count >= failure_limit || is_slow)
     }
 
-    /// Takes it out of service for a while.
+    /// Ejects the target for a time that doubles with each ejection.
     pub fn eject(&mut self, now_us: u64) {
-        let length_us = FIRST_EJECTION_US
+        let duration_us = INITIAL_EJECTION_US
             .saturating_mul(1 << self.ejection_count.min(10))
-            .min(LONGEST_EJECTION_US);
+            .min(MAX_EJECTION_US);
         self.ejection_count = self.ejection_count.saturating_add(1);
         self.health = Health::Ejected {
-            until_us: now_us + length_us,
+            until_us: now_us + duration_us,
         };
     }
 
-    /// Moves on from ejection to trial to health; returns whether it left its
-    /// ejection.
-    pub fn recover(&mut self, now_us: u64) -> bool {
+    /// Moves from ejected to trial and from trial to healthy when the time has
+    /// passed; returns whether the ejection ended.
+    pub fn advance_recovery(&mut self, now_us: u64) -> bool {
         match self.health {
             Health::Ejected { until_us } if now_us >= until_us => {
                 self.health = Health::Trial { since_us: now_us };
                 self.failure_count = 0;
-                // Judged anew: what made it unfit lies before the ejection.
+                // Samples from before the ejection must not cause another one.
                 self.latency = super::latency::Latency::new();
                 true
             }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,7 @@
-//! Choice of the target's node for each attempt.
+//! Picks a target for each attempt.
+//!
+//! Prefers near targets with room, ejects failing and slow ones, and avoids
+//! targets whose nodes do not respond.
 
 mod ejection;
 mod latency;
@@ -8,7 +11,7 @@
 
 pub use {
     target::{DRAIN_AGE_LIMIT_US, LEVEL_AGE_LIMIT_US},
-    zone_router::{PROBE_PERIOD_US, ZoneRouter},
+    zone_router::{SHED_PROBE_PERIOD_US, ZoneRouter},
 };
 
 use crate::{
@@ -17,11 +20,11 @@
 };
 
 arena_key! {
-    /// A target that this node knows, through the node beside it.
+    /// Key of a target; attempts go to it through its node.
     TargetKey
 }
 
-/// Where a target is, as seen from this node.
+/// Location of a target relative to this node.
 #[derives::key]
 pub enum Distance {
     /// Same availability zone.
@@ -32,7 +35,7 @@
     OtherRegion,
 }
 
-/// What membership tells of a target.
+/// What membership reports about a target.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub struct TargetInfo {
@@ -42,54 +45,57 @@
     pub zone: ZoneKey,
     /// Its region.
     pub region: RegionKey,
-    /// Where it is.
+    /// Its location relative to this node.
     pub distance: Distance,
-    /// Requests that it can work on at a time.
+    /// Requests that it can execute concurrently.
     pub slot_count: u32,
-    /// It takes no new work.
+    /// It takes no new requests.
     pub draining: bool,
-    /// It gets a growing share of work at first. Needless where its node knows
-    /// how much it can work on: callers would be refused beside a warm target,
-    /// or a busy one get the work of those that came back after a cut.
+    /// Its share of requests grows from a small start (slow start). Not needed
+    /// if its node knows the target's sustainable rate: callers would be refused
+    /// although a warm target has room, or a busy target would receive the load
+    /// of those that return after a network cut.
     pub starts_slowly: bool,
 }
 
-/// What a target is picked for.
+/// Request for which a target is picked.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub struct RouteRequest {
     /// Service that is called.
     pub service: ServiceKey,
-    /// Importance of the request.
+    /// Class of the request.
     pub class: Class,
     /// Regions in which it may run.
     pub regions: RegionSet,
 }
 
-/// How an attempt ended, as this node saw it.
+/// How an attempt ended, as seen by this node.
 #[derives::key]
 pub enum AttemptResult {
-    /// A whole answer came.
+    /// A complete response was received.
     Answered,
     /// The target's node refused it.
     Refused,
-    /// Connection lost, time out or a bad answer.
+    /// Connection loss, timeout or invalid response.
     Failed,
-    /// This side gave it up; nothing is learnt.
+    /// Cancelled by this node; says nothing about the target.
     Cancelled,
 }
 
-/// What a look at targets that do not answer calls for.
+/// Result of a check for targets that do not respond.
 #[derives::value]
 #[derive(Default, Eq)]
 pub struct SilenceCheck {
-    /// Targets whose nodes are to be asked whether they live.
+    /// Targets whose nodes should be probed for liveness now.
     pub to_probe: Vec<TargetKey>,
     /// Targets whose nodes have just become silent.
     pub newly_silent: Vec<TargetKey>,
 }
 
-/// Picks targets and learns from attempts; no I/O, no clock.
+/// Picks targets and records the results of attempts.
+///
+/// Pure state: performs no I/O and reads no clock.
 pub trait RoutePolicy: Send + 'static {
     /// A router without targets.
     fn new() -> Self;
@@ -97,23 +103,24 @@
     /// Adds a target and returns its key.
     fn add(&mut self, info: TargetInfo, now_us: u64) -> TargetKey;
 
-    /// Changes what membership tells of a target.
+    /// Updates what membership reports about a target.
     fn update(&mut self, target: TargetKey, info: TargetInfo);
 
     /// Removes a target.
     fn remove(&mut self, target: TargetKey);
 
-    /// Picks a target of the service, avoiding those tried before, and counts
-    /// the attempt as outstanding.
+    /// Picks a target of the service, preferably none of `tried`, and counts
+    /// the attempt as outstanding. Refuses if no target may take the request.
     fn pick<R: rand::Rng>(
         &mut self,
-        wanted: RouteRequest,
+        request: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
         rng: &mut R,
     ) -> Result<TargetKey, Refusal>;
 
-    /// An attempt ended; `level` came with the answer, if any did.
+    /// Records the end of an attempt; `level` is the admission level in the
+    /// response, if there was one.
     fn end(
         &mut self,
         target: TargetKey,
@@ -123,14 +130,14 @@
         now_us: u64,
     );
 
-    /// The node beside a target was heard outside of an attempt; returns
-    /// whether it had been silent.
+    /// Records a response of the target's node outside of an attempt; returns
+    /// whether the node was silent before.
     fn record_response(&mut self, target: TargetKey, now_us: u64) -> bool;
 
-    /// Regular look at targets of which nothing is heard.
+    /// Periodic check for targets whose nodes do not respond.
     fn check_silence(&mut self, now_us: u64) -> SilenceCheck;
 
-    /// Regular look at ejected targets; returns those that changed, with
-    /// whether they are ejected now.
+    /// Periodic update of ejections; returns the targets whose ejection began
+    /// or ended, with whether they are ejected now.
     fn tick(&mut self, now_us: u64) -> Vec<(TargetKey, bool)>;
 }
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -1,72 +1,72 @@
-//! What this node knows of one target.
+//! State of one target as this node sees it, and its cost for the next attempt.
 
 use {
     super::{AttemptResult, TargetInfo, latency::Latency, silence::Silence},
     crate::model::{AdmissionLevel, Class},
 };
 
-/// Age past which a piggybacked level counts for nothing.
+/// Age above which an admission level received in a response is ignored.
 pub const LEVEL_AGE_LIMIT_US: u64 = 1_000_000;
-/// Time for which a target that said on an answer that it drains gets nothing;
-/// by then membership tells of it.
+/// Time for which a target gets no requests after it reported in a response
+/// that it drains; by then membership reports it too.
 pub const DRAIN_AGE_LIMIT_US: u64 = 10_000_000;
-/// Load in percent from which a target counts as busy: its queue holds a
-/// fifth of its limit.
+/// Load from which a target is busy: its queue is filled to a fifth of its limit.
 const BUSY_LOAD_PERCENT: u16 = 120;
-/// Time over which a new target's share of work grows to its full share.
+/// Time in which a new target reaches its full share of requests.
 const SLOW_START_US: u64 = 10_000_000;
-/// Share with which it begins.
-const SLOW_START_SHARE: f64 = 0.1;
-/// Time over which a target that was ejected is tried with growing traffic.
+/// Share of requests with which a new target starts.
+const SLOW_START_INITIAL_SHARE: f64 = 0.1;
+/// Duration of the trial after an ejection, with growing traffic.
 pub const TRIAL_US: u64 = 5_000_000;
-/// Share of picks for which such a target is considered at first.
-const TRIAL_SHARE: f64 = 0.05;
+/// Share of picks for which a target is considered when its trial starts.
+const TRIAL_INITIAL_SHARE: f64 = 0.05;
 
-/// Time in which what failures add to the cost falls to 1/e.
-const FAILURE_LIFE_US: f64 = 1_000_000.0;
+/// Time in which the cost added by failures decays to 1/e.
+const FAILURE_DECAY_US: f64 = 1_000_000.0;
 
-/// Whether a target gets work.
+/// Whether a target may get requests.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub enum Health {
-    /// Its full share.
+    /// It gets its full share.
     Healthy,
-    /// Nothing until this time.
+    /// It gets no requests.
     Ejected {
-        /// When the trial begins.
+        /// Time at which its trial starts.
         until_us: u64,
     },
-    /// A share that grows with time.
+    /// It gets a share that grows with time.
     Trial {
-        /// When the trial began.
+        /// Time at which the trial started.
         since_us: u64,
     },
 }
 
-/// A target with what this node has seen of it.
+/// A target with the results of this node's attempts.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// What membership tells.
+    /// What membership reports.
     pub info: TargetInfo,
     /// Attempts of this node that have not ended.
     pub outstanding_count: u32,
     /// Latency of this node's attempts.
     pub latency: Latency,
-    /// Whether it gets work.
+    /// Whether it may get requests.
     pub health: Health,
-    /// Failed attempts since the last answer.
+    /// Consecutive failed attempts.
     pub failure_count: u32,
-    /// Ejections since it was last healthy for long.
+    /// Ejections since the last trial that it passed.
     pub ejection_count: u32,
-    /// Whether the node beside it answers.
+    /// Whether its node responds.
     pub silence: Silence,
+    /// Admission level in the latest response, with the time of its receipt.
     level: Option<(AdmissionLevel, u64)>,
-    failed_us: u64,
+    last_failure_us: u64,
     added_us: u64,
 }
 
 impl Target {
-    /// A target of which only membership has told.
+    /// A target that membership has just reported.
     #[must_use]
     pub const fn new(info: TargetInfo, now_us: u64) -> Self {
         Self {
@@ -78,13 +78,13 @@
             failure_count: 0,
             ejection_count: 0,
             level: None,
-            failed_us: 0,
+            last_failure_us: 0,
             added_us: now_us,
         }
     }
 
-    /// Learns from an attempt that ended.
-    pub fn learn(
+    /// Records the end of an attempt.
+    pub fn record_result(
         &mut self,
         result: AttemptResult,
         latency_us: u64,
@@ -93,45 +93,45 @@
     ) {
         if let Some(level) = level {
             self.level = Some((level, now_us));
-            self.silence.heard(now_us);
+            self.silence.record_response(now_us);
         }
         match result {
             AttemptResult::Answered => {
                 self.failure_count = 0;
-                self.latency.sample(latency_us, now_us);
+                self.latency.add_sample(latency_us, now_us);
             }
             AttemptResult::Refused => self.failure_count = 0,
-            // The way to it is cut, which says nothing of the target itself.
+            // Its node is unreachable, which says nothing about the target.
             AttemptResult::Failed if self.silence.is_silent() => {}
             AttemptResult::Failed => {
                 self.failure_count = self.failure_count.saturating_add(1);
-                self.failed_us = now_us;
-                // A time-out tells that answers take at least that long; a
-                // connection that is refused at once tells nothing of it.
+                self.last_failure_us = now_us;
+                // A timeout shows that responses take at least that long; a
+                // connection that is refused at once shows nothing about it.
                 if self
                     .latency
                     .mean_us()
-                    .is_some_and(|us| latency_us as f64 > us)
+                    .is_some_and(|mean_us| latency_us as f64 > mean_us)
                 {
-                    self.latency.sample(latency_us, now_us);
+                    self.latency.add_sample(latency_us, now_us);
                 }
             }
             AttemptResult::Cancelled => {}
         }
     }
 
-    /// Whether it takes no new work, by membership or by its own answers.
+    /// Whether it drains, as reported by membership or in a recent response.
     #[must_use]
     pub fn is_draining(&self, now_us: u64) -> bool {
-        let said_so = self.level.is_some_and(|(level, at_us)| {
-            level.draining && now_us.saturating_sub(at_us) <= DRAIN_AGE_LIMIT_US
+        let is_reported = self.level.is_some_and(|(level, received_us)| {
+            level.draining && now_us.saturating_sub(received_us) <= DRAIN_AGE_LIMIT_US
         });
-        self.info.draining || said_so
+        self.info.draining || is_reported
     }
 
-    /// Whether it gets no new work for now, whatever its load.
+    /// Whether it may get no new requests, regardless of its load.
     #[must_use]
-    pub fn is_away(&self, now_us: u64) -> bool {
+    pub fn is_unavailable(&self, now_us: u64) -> bool {
         self.is_draining(now_us) || self.silence.is_silent()
     }
 
@@ -141,14 +141,14 @@
         matches!(self.health, Health::Ejected { .. })
     }
 
-    /// Whether it said lately that it sheds this class.
+    /// Whether a recent response reported that it sheds this class.
     #[must_use]
     pub fn is_shedding(&self, class: Class, now_us: u64) -> bool {
         self.fresh_level(now_us)
             .is_some_and(|level| class < level.lowest_class)
     }
 
-    /// Whether work had better go elsewhere while there is room elsewhere.
+    /// Whether targets with room should be preferred to it.
     #[must_use]
     pub fn is_busy(&self, now_us: u64) -> bool {
         self.outstanding_count >= self.info.slot_count
@@ -163,53 +163,59 @@
         match self.health {
             Health::Healthy => 1.0,
             Health::Ejected { .. } => 0.0,
-            Health::Trial { since_us } => ramp(TRIAL_SHARE, since_us, TRIAL_US, now_us),
+            Health::Trial { since_us } => ramp(TRIAL_INITIAL_SHARE, since_us, TRIAL_US, now_us),
         }
     }
 
-    /// Expected time for one more attempt here, in arbitrary units; the lower
-    /// of two is picked.
+    /// Cost of one more attempt, in arbitrary units; the cheaper of two targets
+    /// is picked.
     #[must_use]
     pub fn cost(&self, median_us: f64, now_us: u64) -> f64 {
         let share = match self.info.starts_slowly {
-            true => ramp(SLOW_START_SHARE, self.added_us, SLOW_START_US, now_us),
+            true => ramp(
+                SLOW_START_INITIAL_SHARE,
+                self.added_us,
+                SLOW_START_US,
+                now_us,
+            ),
             false => 1.0,
         };
         let slot_count = f64::from(self.info.slot_count.max(1)) * share;
-        let queued = f64::from(self.outstanding_count + 1) / slot_count;
+        let attempts_per_slot = f64::from(self.outstanding_count + 1) / slot_count;
         let load = self
             .fresh_level(now_us)
             .map_or(0.0, |level| f64::from(level.load_percent) / 100.0);
         let latency_us = self.latency.estimate_us(median_us, now_us).max(1.0);
-        queued * (1.0 + load) * latency_us * self.failure_factor(now_us)
+        attempts_per_slot * (1.0 + load) * latency_us * self.failure_factor(now_us)
     }
 
-    /// Time that one more attempt is expected to take here, waiting included.
+    /// Expected duration of one more attempt, including queueing.
     #[must_use]
     pub fn expected_us(&self, median_us: f64, now_us: u64) -> f64 {
         let latency_us = self.latency.estimate_us(median_us, now_us);
         let load = self
             .fresh_level(now_us)
             .map_or(0.0, |level| f64::from(level.load_percent) / 100.0);
-        // Beyond its slots it has become slower than it was lately.
+        // A load above 100 % adds queueing that past latencies do not show yet.
         latency_us * (1.0 + (load - 1.0).max(0.0) / 2.0)
     }
 
-    /// Fades, since a target that failed once and is then avoided would never
-    /// get the answer that clears its failures.
+    /// Factor by which failures raise the cost. It decays: an avoided target
+    /// would never get the response that resets its failure count.
     fn failure_factor(&self, now_us: u64) -> f64 {
-        let age_us = now_us.saturating_sub(self.failed_us) as f64;
-        1.0 + f64::from(self.failure_count) * (-age_us / FAILURE_LIFE_US).exp()
+        let age_us = now_us.saturating_sub(self.last_failure_us) as f64;
+        1.0 + f64::from(self.failure_count) * (-age_us / FAILURE_DECAY_US).exp()
     }
 
     fn fresh_level(&self, now_us: u64) -> Option<AdmissionLevel> {
         self.level
-            .filter(|(_, at_us)| now_us.saturating_sub(*at_us) <= LEVEL_AGE_LIMIT_US)
+            .filter(|(_, received_us)| now_us.saturating_sub(*received_us) <= LEVEL_AGE_LIMIT_US)
             .map(|(level, _)| level)
     }
 }
 
-fn ramp(first_share: f64, since_us: u64, length_us: u64, now_us: u64) -> f64 {
-    let passed = now_us.saturating_sub(since_us) as f64 / length_us as f64;
-    (first_share + (1.0 - first_share) * passed).min(1.0)
+/// Share that grows linearly from `initial_share` to 1 within `duration_us`.
+fn ramp(initial_share: f64, since_us: u64, duration_us: u64, now_us: u64) -> f64 {
+    let elapsed_ratio = now_us.saturating_sub(since_us) as f64 / duration_us as f64;
+    (initial_share + (1.0 - initial_share) * elapsed_ratio).min(1.0)
 }
--- a/src/routing/zone_router.rs
+++ b/src/routing/zone_router.rs
@@ -1,4 +1,8 @@
-//! Nearest targets first, the better of two, ejection of unfit ones.
+//! Router that prefers the nearest availability zone.
+//!
+//! Of two random targets of a tier (zone, region, other regions) it takes the
+//! cheaper one; a farther tier is used if the nearer ones have no room or are
+//! clearly slower.
 
 use {
     super::{
@@ -13,23 +17,24 @@
     rand::Rng,
 };
 
-/// Time between two requests of a class that are let through to a service of
-/// which all targets shed it. Recovery is noticed by the first of them.
-pub const PROBE_PERIOD_US: u64 = 100_000;
-/// Time after which callers refused here are told to come back: the least,
-/// and the width over which it is spread.
+/// Time between two requests sent to a service although all its targets shed
+/// their class. The first one after a recovery detects it.
+pub const SHED_PROBE_PERIOD_US: u64 = 100_000;
+/// Retry delay reported to refused callers, in milliseconds: minimum and width
+/// of the random part.
 const RETRY_AFTER_MS: (u32, u32) = (100, 200);
-/// The same for a service without targets, which lasts longer.
+/// The same for a service without targets, whose recovery takes longer.
 const NO_TARGET_RETRY_AFTER_MS: (u32, u32) = (500, 1000);
-/// Costs that differ by less than this count as equal. Idle targets would
-/// otherwise be told apart by the last microseconds of latency, and all work
-/// would go to one.
+/// Costs that differ by less than this ratio are treated as equal. Otherwise
+/// microseconds of latency would decide between idle targets, and one of them
+/// would get all requests.
 const EQUAL_RATIO: f64 = 1.25;
-/// Time that a target elsewhere must save over a nearer one to be picked, as a
-/// share and in addition. Work that leaves its zone is lost when the zone is cut
-/// off, and its bytes are paid for.
-const LEAVE_RATIO: f64 = 1.2;
-const LEAVE_MARGIN_US: f64 = 30_000.0;
+/// A target of a farther tier is picked only if its expected duration times this
+/// ratio plus the margin below is less than that of a nearer one. Requests that
+/// leave their zone are lost when the zone is cut off, and their traffic costs
+/// money.
+const FARTHER_TIER_RATIO: f64 = 1.2;
+const FARTHER_TIER_MARGIN_US: f64 = 30_000.0;
 const DISTANCE_COUNT: usize = 3;
 const DISTANCES: [Distance; DISTANCE_COUNT] = [
     Distance::SameZone,
@@ -37,12 +42,12 @@
     Distance::OtherRegion,
 ];
 
-/// Targets of one service.
+/// Targets of one service, by distance.
 #[derive(Debug, Default)]
 struct Service {
     tiers: [Vec<TargetKey>; DISTANCE_COUNT],
     median_us: f64,
-    probed_us: Option<u64>,
+    last_probe_us: Option<u64>,
 }
 
 impl Service {
@@ -56,11 +61,13 @@
 }
 
 /// Routes to the nearest availability zone that has room.
+///
+/// Pure state: performs no I/O and reads no clock.
 #[derive(Debug)]
 pub struct ZoneRouter {
     targets: Arena<TargetKey, Target>,
     services: Vec<Service>,
-    /// Changes that the next tick tells of.
+    /// Changes since the last tick, which the next one returns.
     changes: Vec<(TargetKey, bool)>,
 }
 
@@ -98,17 +105,17 @@
 
     fn pick<R: Rng>(
         &mut self,
-        wanted: RouteRequest,
+        request: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
         rng: &mut R,
     ) -> Result<TargetKey, Refusal> {
         let picked = self
-            .pick_admitting(wanted, tried, now_us, rng)
-            .or_else(|| self.pick_unhealthy(wanted, now_us, rng))
-            .or_else(|| self.pick_probe(wanted, tried, now_us, rng));
+            .pick_admitting(request, tried, now_us, rng)
+            .or_else(|| self.pick_unhealthy(request, now_us, rng))
+            .or_else(|| self.pick_probe(request, tried, now_us, rng));
         let Some(key) = picked else {
-            return Err(self.refusal(wanted, now_us, rng));
+            return Err(self.refusal(request, now_us, rng));
         };
         if let Some(target) = self.targets.get_mut(key) {
             target.outstanding_count += 1;
@@ -128,14 +135,14 @@
             return;
         };
         entry.outstanding_count = entry.outstanding_count.saturating_sub(1);
-        entry.learn(result, latency_us, level, now_us);
-        // A node that breaks off answers faster than any other and looks idle.
-        // Between two ticks it would draw so many attempts that the retries of
-        // the whole service are used up, and callers would get failures while
+        entry.record_result(result, latency_us, level, now_us);
+        // A node that aborts attempts at once seems to be the fastest and idle.
+        // Between two ticks it would attract enough attempts to exhaust the
+        // retries of the whole service, and callers would get failures although
         // another target is idle.
         if result == AttemptResult::Failed {
             let service = entry.info.service.index();
-            review(
+            update_ejections(
                 &mut self.services[service],
                 &mut self.targets,
                 now_us,
@@ -146,36 +153,38 @@
 
     fn record_response(&mut self, target: TargetKey, now_us: u64) -> bool {
         let entry = self.targets.get_mut(target);
-        entry.is_some_and(|entry| entry.silence.heard(now_us))
+        entry.is_some_and(|entry| entry.silence.record_response(now_us))
     }
 
     fn check_silence(&mut self, now_us: u64) -> SilenceCheck {
-        let mut unheard = SilenceCheck::default();
-        let doubted = self.doubted_zones();
+        let mut check = SilenceCheck::default();
+        let suspected_zones = self.suspected_zones();
         for (key, target) in self.targets.iter_mut() {
-            let is_waiting = target.outstanding_count > 0 || doubted.contains(&target.info.zone);
-            let look = target.silence.look(is_waiting, now_us);
-            if look.asks {
-                unheard.to_probe.push(key);
+            let is_waiting =
+                target.outstanding_count > 0 || suspected_zones.contains(&target.info.zone);
+            let step = target.silence.check(is_waiting, now_us);
+            if step.should_probe {
+                check.to_probe.push(key);
             }
-            if look.falls_silent {
-                unheard.newly_silent.push(key);
+            if step.became_silent {
+                check.newly_silent.push(key);
             }
         }
-        unheard
+        check
     }
 
     fn tick(&mut self, now_us: u64) -> Vec<(TargetKey, bool)> {
         let mut changes = std::mem::take(&mut self.changes);
         for service in &mut self.services {
-            review(service, &mut self.targets, now_us, &mut changes);
+            update_ejections(service, &mut self.targets, now_us, &mut changes);
         }
         changes
     }
 }
 
 impl ZoneRouter {
-    /// Attempts of this node at a target that have not ended.
+    /// Attempts of this node at the target that have not ended; `None` if it was
+    /// removed.
     #[must_use]
     pub fn outstanding_count(&self, target: TargetKey) -> Option<u32> {
         self.targets
@@ -183,12 +192,12 @@
             .map(|entry| entry.outstanding_count)
     }
 
-    /// Zones of which a node has just left questions unanswered: the others may
-    /// be out of reach with it, and are asked before work has hung at each.
-    fn doubted_zones(&self) -> Vec<ZoneKey> {
+    /// Zones of which a node has just begun not to respond. The zone's other nodes
+    /// may be unreachable too, and are probed before requests hang at each.
+    fn suspected_zones(&self) -> Vec<ZoneKey> {
         let targets = self.targets.iter().map(|(_, target)| target);
         let mut zones: Vec<ZoneKey> = targets
-            .filter(|target| target.silence.is_doubted())
+            .filter(|target| target.silence.is_suspected())
             .map(|target| target.info.zone)
             .collect();
         zones.sort_unstable();
@@ -209,79 +218,80 @@
         tier.retain(|other| *other != key);
     }
 
-    /// A target that admits the class: first one with room, then a busy one,
-    /// at last one that was tried before.
+    /// Picks a target that admits the class: preferably one with room, else a
+    /// busy one, else one that was tried before.
     fn pick_admitting<R: Rng>(
         &self,
-        wanted: RouteRequest,
+        request: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
         rng: &mut R,
     ) -> Option<TargetKey> {
-        let admits = |target: &Target| !target.is_shedding(wanted.class, now_us);
-        let is_new = |key| !tried.contains(&key);
-        self.pick_where(wanted, now_us, rng, |key, target| {
-            is_new(key) && admits(target) && !target.is_busy(now_us)
+        let admits = |target: &Target| !target.is_shedding(request.class, now_us);
+        let is_untried = |key| !tried.contains(&key);
+        self.pick_where(request, now_us, rng, |key, target| {
+            is_untried(key) && admits(target) && !target.is_busy(now_us)
         })
         .or_else(|| {
-            self.pick_where(wanted, now_us, rng, |key, target| {
-                is_new(key) && admits(target)
+            self.pick_where(request, now_us, rng, |key, target| {
+                is_untried(key) && admits(target)
             })
         })
-        .or_else(|| self.pick_where(wanted, now_us, rng, |_, target| admits(target)))
+        .or_else(|| self.pick_where(request, now_us, rng, |_, target| admits(target)))
     }
 
-    /// An ejected target, or one on trial, when no target is healthy.
+    /// Picks an ejected target, or one on trial, if no target is healthy.
     fn pick_unhealthy<R: Rng>(
         &self,
-        wanted: RouteRequest,
+        request: RouteRequest,
         now_us: u64,
         rng: &mut R,
     ) -> Option<TargetKey> {
-        let entry = self.services.get(wanted.service.index())?;
+        let entry = self.services.get(request.service.index())?;
         let has_healthy = entry
             .keys()
             .filter_map(|key| self.targets.get(key))
-            .any(|target| may_serve(wanted, target, now_us) && target.health == Health::Healthy);
+            .any(|target| may_serve(request, target, now_us) && target.health == Health::Healthy);
         if has_healthy {
             return None;
         }
         self.pick_two(entry, &entry.tiers.concat(), now_us, rng, |_, target| {
             let admits =
-                may_serve(wanted, target, now_us) && !target.is_shedding(wanted.class, now_us);
+                may_serve(request, target, now_us) && !target.is_shedding(request.class, now_us);
             f64::from(u8::from(admits))
         })
     }
 
-    /// Now and then a target though all shed the class. Otherwise, with no
-    /// request admitted, no answer would tell that there is room again.
+    /// Picks a target once per `SHED_PROBE_PERIOD_US` although all shed the class.
+    /// Without requests no response would report that there is room again.
     fn pick_probe<R: Rng>(
         &mut self,
-        wanted: RouteRequest,
+        request: RouteRequest,
         tried: &[TargetKey],
         now_us: u64,
         rng: &mut R,
     ) -> Option<TargetKey> {
-        let probed_us = self.services.get(wanted.service.index())?.probed_us;
-        if probed_us.is_some_and(|at_us| now_us < at_us + PROBE_PERIOD_US) {
+        let last_probe_us = self.services.get(request.service.index())?.last_probe_us;
+        if last_probe_us.is_some_and(|last_probe_us| now_us < last_probe_us + SHED_PROBE_PERIOD_US)
+        {
             return None;
         }
-        let key = self.pick_where(wanted, now_us, rng, |key, _| !tried.contains(&key))?;
-        self.services[wanted.service.index()].probed_us = Some(now_us);
+        let key = self.pick_where(request, now_us, rng, |key, _| !tried.contains(&key))?;
+        self.services[request.service.index()].last_probe_us = Some(now_us);
         Some(key)
     }
 
-    /// The better of two from the nearest tier that has any such target, or from
-    /// a tier further away where it is expected to take clearly less time.
+    /// Picks the cheaper of two eligible targets from the nearest tier that has
+    /// any, or from a farther tier that is expected to be clearly faster.
     fn pick_where<R: Rng>(
         &self,
-        wanted: RouteRequest,
+        request: RouteRequest,
         now_us: u64,
         rng: &mut R,
-        is_wanted: impl Fn(TargetKey, &Target) -> bool,
+        is_eligible: impl Fn(TargetKey, &Target) -> bool,
     ) -> Option<TargetKey> {
-        let service = self.services.get(wanted.service.index())?;
-        let expected_us = |key: TargetKey| {
+        let service = self.services.get(request.service.index())?;
+        let expected_us_of = |key: TargetKey| {
             self.targets.get(key).map_or(f64::MAX, |target| {
                 target.expected_us(service.median_us, now_us)
             })
@@ -289,7 +299,7 @@
         let mut best: Option<(TargetKey, f64)> = None;
         for tier in &service.tiers {
             let picked = self.pick_two(service, tier, now_us, rng, |key, target| {
-                if !may_serve(wanted, target, now_us) || !is_wanted(key, target) {
+                if !may_serve(request, target, now_us) || !is_eligible(key, target) {
                     return 0.0;
                 }
                 target.considered_share(now_us)
@@ -297,18 +307,20 @@
             let Some(key) = picked else {
                 continue;
             };
-            let key_us = expected_us(key);
-            let is_better =
-                best.is_none_or(|(_, best_us)| key_us * LEAVE_RATIO + LEAVE_MARGIN_US < best_us);
+            let candidate_us = expected_us_of(key);
+            let is_better = best.is_none_or(|(_, best_us)| {
+                candidate_us * FARTHER_TIER_RATIO + FARTHER_TIER_MARGIN_US < best_us
+            });
             if is_better {
-                best = Some((key, key_us));
+                best = Some((key, candidate_us));
             }
         }
         best.map(|(key, _)| key)
     }
 
-    /// Draws two of the targets, each considered with the share given for it,
-    /// and takes the cheaper one. Always taking the cheapest would send all nodes to the same target.
+    /// Draws two targets at random, each considered with the probability that
+    /// `share_of` returns, and takes the cheaper one. If all nodes took the
+    /// cheapest of all, they would send their requests to the same target.
     fn pick_two<R: Rng>(
         &self,
         service: &Service,
@@ -318,7 +330,7 @@
         share_of: impl Fn(TargetKey, &Target) -> f64,
     ) -> Option<TargetKey> {
         let mut drawn: [Option<TargetKey>; 2] = [None, None];
-        let mut seen_count = 0;
+        let mut considered_count = 0;
         for key in keys {
             let Some(target) = self.targets.get(*key) else {
                 continue;
@@ -326,18 +338,18 @@
             if !is_considered(share_of(*key, target), rng) {
                 continue;
             }
-            // Reservoir of two: each considered one is equally likely in it.
-            seen_count += 1;
-            if seen_count <= 2 {
-                drawn[seen_count - 1] = Some(*key);
+            // Reservoir sampling: all considered targets are drawn equally likely.
+            considered_count += 1;
+            if considered_count <= 2 {
+                drawn[considered_count - 1] = Some(*key);
             } else {
-                let place = rng.random_range(0..seen_count);
-                if place < 2 {
-                    drawn[place] = Some(*key);
+                let drawn_index = rng.random_range(0..considered_count);
+                if drawn_index < 2 {
+                    drawn[drawn_index] = Some(*key);
                 }
             }
         }
-        let cost = |key: TargetKey| {
+        let cost_of = |key: TargetKey| {
             self.targets
                 .get(key)
                 .map_or(f64::MAX, |target| target.cost(service.median_us, now_us))
@@ -345,7 +357,7 @@
         let [Some(first), Some(second)] = drawn else {
             return drawn[0];
         };
-        let (first_cost, second_cost) = (cost(first), cost(second));
+        let (first_cost, second_cost) = (cost_of(first), cost_of(second));
         if first_cost * EQUAL_RATIO < second_cost {
             Some(first)
         } else if second_cost * EQUAL_RATIO < first_cost {
@@ -355,26 +367,26 @@
         }
     }
 
-    fn refusal<R: Rng>(&self, wanted: RouteRequest, now_us: u64, rng: &mut R) -> Refusal {
-        let service = self.services.get(wanted.service.index());
+    fn refusal<R: Rng>(&self, request: RouteRequest, now_us: u64, rng: &mut R) -> Refusal {
+        let service = self.services.get(request.service.index());
         let has_target = service.is_some_and(|service| {
             service
                 .keys()
                 .filter_map(|key| self.targets.get(key))
-                .any(|target| may_serve(wanted, target, now_us))
+                .any(|target| may_serve(request, target, now_us))
         });
-        let (reason, (least_ms, width_ms)) = if has_target {
+        let (reason, (min_ms, width_ms)) = if has_target {
             (Reason::Overloaded, RETRY_AFTER_MS)
         } else {
             (Reason::NoTarget, NO_TARGET_RETRY_AFTER_MS)
         };
-        Refusal::not_run(reason).with_retry_after_ms(least_ms + rng.random_range(0..=width_ms))
+        Refusal::not_run(reason).with_retry_after_ms(min_ms + rng.random_range(0..=width_ms))
     }
 }
 
-/// Whether a target may get the request now, whatever its load.
-fn may_serve(wanted: RouteRequest, target: &Target, now_us: u64) -> bool {
-    wanted.regions.allows(target.info.region) && !target.is_away(now_us)
+/// Whether a target may get the request now, regardless of its load.
+fn may_serve(request: RouteRequest, target: &Target, now_us: u64) -> bool {
+    request.regions.allows(target.info.region) && !target.is_unavailable(now_us)
 }
 
 fn tier_index(distance: Distance) -> usize {
@@ -388,8 +400,9 @@
     share >= 1.0 || (share > 0.0 && rng.random::<f64>() < share)
 }
 
-/// Looks at the targets of one service: median, recoveries, ejections.
-fn review(
+/// Updates the median of one service, ends ejections and trials that have
+/// lasted long enough, and ejects targets.
+fn update_ejections(
     service: &mut Service,
     targets: &mut Arena<TargetKey, Target>,
     now_us: u64,
@@ -403,13 +416,13 @@
     if let Some(median_us) = median_us(means_us) {
         service.median_us = median_us;
     }
-    let limit = ejection_limit(service.target_count());
+    let max_ejected_count = ejection_limit(service.target_count());
     let mut ejected_count = 0;
     for key in service.keys() {
         let Some(target) = targets.get_mut(key) else {
             continue;
         };
-        if target.recover(now_us) {
+        if target.advance_recovery(now_us) {
             changes.push((key, false));
         }
         ejected_count += usize::from(target.is_ejected());
@@ -418,7 +431,7 @@
         let Some(target) = targets.get_mut(key) else {
             continue;
         };
-        if ejected_count < limit && target.is_unfit(service.median_us, peer_count) {
+        if ejected_count < max_ejected_count && target.should_eject(service.median_us, peer_count) {
             target.eject(now_us);
             ejected_count += 1;
             changes.push((key, true));
--- a/tests/routing_properties.rs
+++ b/tests/routing_properties.rs
@@ -1,4 +1,4 @@
-//! What holds for routing whatever is added, picked, answered or removed.
+//! Invariants of the router under random sequences of operations.
 
 #[path = "admission_support/generated.rs"]
 mod generated;
@@ -24,8 +24,8 @@
     AttemptResult::Cancelled,
 ];
 
-/// What the router should know, kept in the plainest way.
-struct Model {
+/// Router under test with the state that it should have.
+struct Fixture {
     router: ZoneRouter,
     infos: BTreeMap<TargetKey, TargetInfo>,
     outstanding: Vec<TargetKey>,
@@ -34,7 +34,7 @@
     pick_count: usize,
 }
 
-impl Model {
+impl Fixture {
     fn new() -> Self {
         Self {
             router: ZoneRouter::new(),
@@ -57,13 +57,17 @@
             _ => self.end(choice),
         }
         for key in self.infos.keys() {
-            let count = self
+            let expected_count = self
                 .outstanding
                 .iter()
                 .filter(|other| *other == key)
                 .count();
-            let known = self.router.outstanding_count(*key);
-            assert_eq!(known, u32::try_from(count).ok(), "outstanding of {key:?}");
+            let router_count = self.router.outstanding_count(*key);
+            assert_eq!(
+                router_count,
+                u32::try_from(expected_count).ok(),
+                "outstanding attempts of {key:?}"
+            );
         }
     }
 
@@ -86,20 +90,20 @@
         assert!(self.infos.insert(key, info).is_none());
     }
 
-    fn chosen(&self, choice: u8) -> Option<TargetKey> {
-        let place = usize::from(choice) % self.infos.len().max(1);
-        self.infos.keys().nth(place).copied()
+    fn existing_target(&self, choice: u8) -> Option<TargetKey> {
+        let index = usize::from(choice) % self.infos.len().max(1);
+        self.infos.keys().nth(index).copied()
     }
 
     fn remove(&mut self, choice: u8) {
-        if let Some(key) = self.chosen(choice) {
+        if let Some(key) = self.existing_target(choice) {
             self.router.remove(key);
             self.infos.remove(&key);
         }
     }
 
     fn drain(&mut self, choice: u8) {
-        let Some(key) = self.chosen(choice) else {
+        let Some(key) = self.existing_target(choice) else {
             return;
         };
         if let Some(info) = self.infos.get_mut(&key) {
@@ -111,19 +115,18 @@
     fn pick(&mut self, choice: u8) {
         let service = ServiceKey::new(u16::from(choice % 2));
         let class = Class::ALL[usize::from(choice) % 3];
-        let wanted = RouteRequest {
+        let request = RouteRequest {
             service,
             class,
             regions: RegionSet::ANY,
         };
         let tried: Vec<TargetKey> = self.outstanding.iter().rev().take(2).copied().collect();
-        let picked = self.router.pick(wanted, &tried, self.now_us, &mut self.rng);
+        let picked = self
+            .router
+            .pick(request, &tried, self.now_us, &mut self.rng);
         match picked {
             Ok(key) => {
-                let info = self
-                    .infos
-                    .get(&key)
-                    .expect("removed targets are not picked");
+                let info = self.infos.get(&key).expect("a removed target was picked");
                 assert!(!info.draining, "a draining target was picked");
                 assert_eq!(info.service, service);
                 self.outstanding.push(key);
@@ -140,8 +143,8 @@
         if self.outstanding.is_empty() {
             return;
         }
-        let place = usize::from(choice) % self.outstanding.len();
-        let key = self.outstanding.swap_remove(place);
+        let index = usize::from(choice) % self.outstanding.len();
+        let key = self.outstanding.swap_remove(index);
         let level = AdmissionLevel {
             lowest_class: Class::ALL[usize::from(choice / 4) % 3],
             load_percent: u16::from(choice),
@@ -155,18 +158,23 @@
     }
 }
 
+/// Targets are added, drained and removed while attempts run, so that counts of
+/// attempts can leak or a stale target be picked.
 #[test]
 fn outstanding_counts_are_conserved_and_drained_targets_never_picked() {
     let mut pick_count = 0;
     for_each_case(CASE_COUNT, |steps: [(u8, u8, u8); STEP_COUNT]| {
-        let mut model = Model::new();
-        model.add(0);
-        model.add(1);
+        let mut fixture = Fixture::new();
+        fixture.add(0);
+        fixture.add(1);
         for step in steps {
-            model.step(step);
+            fixture.step(step);
         }
-        pick_count += model.pick_count;
+        pick_count += fixture.pick_count;
     });
     println!("{CASE_COUNT} cases, {pick_count} picks");
-    assert!(pick_count > CASE_COUNT, "the cases hardly pick anything");
+    assert!(
+        pick_count > CASE_COUNT,
+        "too few picks in the generated cases"
+    );
 }
