--- a/src/arena.rs
+++ b/src/arena.rs
@@ -4,11 +4,11 @@
 
 /// A key into an [`Arena`].
 pub trait ArenaKey: Copy {
-    /// Makes the key that stands for this place and generation.
+    /// Creates the key of a slot and generation.
     fn new(index: u32, generation: u32) -> Self;
-    /// Place in the arena.
+    /// Index of the slot in the arena.
     fn index(self) -> usize;
-    /// Tells the key from keys of entries that used the same place before.
+    /// Distinguishes entries that use the same slot one after another.
     fn generation(self) -> u32;
 }
 
@@ -39,10 +39,10 @@
     };
 }
 
-/// A table of entries that are addressed by key and whose places are reused.
+/// A table of entries that are addressed by key and whose slots are reused.
 ///
-/// A key outlives its entry harmlessly: after a removal the place carries a
-/// higher generation, so that an old key finds nothing instead of a stranger.
+/// A removal increments the slot's generation, so that a stale key finds nothing
+/// instead of the entry that uses the slot next.
 #[derive(Debug, Clone)]
 pub struct Arena<K, T> {
     entries: Vec<(u32, Option<T>)>,
@@ -70,9 +70,9 @@
     /// Adds an entry and returns its key.
     pub fn insert(&mut self, entry: T) -> K {
         if let Some(index) = self.free.pop() {
-            let place = &mut self.entries[index as usize];
-            place.1 = Some(entry);
-            return K::new(index, place.0);
+            let slot = &mut self.entries[index as usize];
+            slot.1 = Some(entry);
+            return K::new(index, slot.0);
         }
         let index = u32::try_from(self.entries.len()).expect("fewer than 2^32 entries");
         self.entries.push((0, Some(entry)));
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The entry of this key for changing, unless it was removed.
+    /// Mutable access to the entry of this key, unless it was removed.
     pub fn get_mut(&mut self, key: K) -> Option<&mut T> {
         let (generation, entry) = self.entries.get_mut(key.index())?;
         if *generation == key.generation() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes the entry out; its key and copies of it find nothing from now on.
+    /// Removes and returns the entry; its key finds nothing from now on.
     pub fn remove(&mut self, key: K) -> Option<T> {
         let (generation, entry) = self.entries.get_mut(key.index())?;
         if *generation != key.generation() {
@@ -113,7 +113,7 @@
         Some(removed)
     }
 
-    /// Keys and entries in the order of their places.
+    /// Keys and entries in slot order.
     pub fn iter(&self) -> impl Iterator<Item = (K, &T)> {
         self.entries
             .iter()
@@ -126,7 +126,7 @@
             })
     }
 
-    /// Keys and entries, for changing, in the order of their places.
+    /// Keys and mutable entries in slot order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (K, &mut T)> {
         self.entries
             .iter_mut()
--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,38 +1,38 @@
-//! Delays between repeated attempts.
+//! Delays between attempts.
 
 use {rand::Rng, std::time::Duration};
 
 /// Exponential delays with jitter.
 ///
-/// Without jitter all nodes that lost the platform at the same time would come
-/// back to it at the same time.
+/// Without jitter, all nodes that lost their connection to the platform at the
+/// same time would also reconnect at the same time.
 #[derive(Debug, Clone)]
 pub struct Backoff {
-    first_ms: u64,
-    longest_ms: u64,
+    initial_ms: u64,
+    max_ms: u64,
     next_ms: u64,
 }
 
 impl Backoff {
-    /// Delays that double from the first to the longest one.
+    /// Delays that double from `initial_ms` up to `max_ms`.
     #[must_use]
-    pub const fn new(first_ms: u64, longest_ms: u64) -> Self {
+    pub const fn new(initial_ms: u64, max_ms: u64) -> Self {
         Self {
-            first_ms,
-            longest_ms,
-            next_ms: first_ms,
+            initial_ms,
+            max_ms,
+            next_ms: initial_ms,
         }
     }
 
-    /// Starts over after a success.
+    /// Starts again with the initial delay, after a success.
     pub const fn reset(&mut self) {
-        self.next_ms = self.first_ms;
+        self.next_ms = self.initial_ms;
     }
 
-    /// The next delay: between half and all of the present step.
+    /// The next delay: random between half and all of the current step.
     pub fn next_delay(&mut self) -> Duration {
         let step_ms = self.next_ms;
-        self.next_ms = (step_ms * 2).min(self.longest_ms);
+        self.next_ms = (step_ms * 2).min(self.max_ms);
         Duration::from_millis(rand::rng().random_range(step_ms / 2..=step_ms))
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! dogwoodbridge: overload control for service call graphs.
 //!
-//! One `dogwoodd` runs beside each target instance. Modules named after a
-//! decision (`admission`, `retry`, `routing`, `quota`, `guard`, `freshness`)
-//! hold logic without I/O and without a clock: time is an argument, state
-//! sits in arenas. The other modules are the shells that do the I/O.
+//! One node (`dogwoodd`) runs beside each target instance. The modules
+//! that make decisions (`admission`, `retry`, `routing`, `quota`, `guard`,
+//! `freshness`) contain logic that performs no I/O and reads no clock: time is an
+//! argument, and state is kept in arenas. The other modules perform the I/O.
 
 pub mod admission;
 pub mod arena;
--- a/src/retry/chain_budget.rs
+++ b/src/retry/chain_budget.rs
@@ -1,4 +1,4 @@
-//! One budget of retries for the whole chain of an original request.
+//! Retry policy with one budget for the whole call chain of an original request.
 
 use {
     super::{
@@ -7,35 +7,37 @@
     crate::{arena::Arena, model::ServiceKey},
 };
 
-/// Allotment of a call and what of it is with children.
+/// Call of this node with the retries that it may still spend or pass on.
 #[derive(Debug, Clone, Copy)]
 struct Call {
-    held: u8,
+    available: u8,
 }
 
 impl Call {
-    const fn lend(&mut self) -> u8 {
-        let lent = self.held.div_ceil(2);
-        self.held -= lent;
-        lent
+    /// Takes half of the available retries, rounded up, for a child.
+    const fn split_for_child(&mut self) -> u8 {
+        let allotted = self.available.div_ceil(2);
+        self.available -= allotted;
+        allotted
     }
 }
 
+/// Allotment of a child whose response has not been recorded.
 #[derive(Debug, Clone, Copy)]
-struct OpenLoan {
+struct OpenChildAllotment {
     call: CallKey,
-    lent: u8,
+    allotted: u8,
 }
 
-/// Moves the allotment along the chain and never copies it.
+/// Moves the retry allotment along the call chain and never copies it.
 ///
-/// A child gets half of what its parent holds, rounded up: the hop directly
-/// above a failure still has a retry at any depth, and a child whose answer
-/// is lost doesn't take along all that its parent could retry it with.
+/// A child gets half of the parent's available retries, rounded up. At any depth
+/// the hop directly above a failure still has a retry, and a child whose response
+/// is lost does not take away all retries that the parent could use for it.
 #[derive(Debug)]
 pub struct ChainBudget {
     calls: Arena<CallKey, Call>,
-    loans: Arena<ChildAllotmentKey, OpenLoan>,
+    child_allotments: Arena<ChildAllotmentKey, OpenChildAllotment>,
     shares: Vec<RetryShare>,
     limits: ShareLimits,
 }
@@ -44,7 +46,7 @@
     fn new() -> Self {
         Self {
             calls: Arena::new(),
-            loans: Arena::new(),
+            child_allotments: Arena::new(),
             shares: Vec::new(),
             limits: ShareLimits::default(),
         }
@@ -56,62 +58,64 @@
     }
 
     fn open(&mut self, allotment: u8) -> CallKey {
-        self.calls.insert(Call { held: allotment })
+        self.calls.insert(Call {
+            available: allotment,
+        })
     }
 
     fn allot_to_child(&mut self, call: CallKey) -> ChildAllotment {
-        let allotment = self.calls.get_mut(call).map_or(0, Call::lend);
-        let key = self.loans.insert(OpenLoan {
+        let allotment = self.calls.get_mut(call).map_or(0, Call::split_for_child);
+        let key = self.child_allotments.insert(OpenChildAllotment {
             call,
-            lent: allotment,
+            allotted: allotment,
         });
         ChildAllotment { key, allotment }
     }
 
-    fn return_unspent(&mut self, loan: ChildAllotmentKey, unspent: u8) {
-        // Taken out first: an answer that comes twice would otherwise give
-        // back twice, and a chain would retry more often than its budget.
-        let Some(loan) = self.loans.remove(loan) else {
+    fn return_unspent(&mut self, key: ChildAllotmentKey, unspent: u8) {
+        // Removed first: a duplicate response would otherwise return the unspent
+        // retries twice, and the chain would exceed its budget.
+        let Some(child) = self.child_allotments.remove(key) else {
             return;
         };
-        // A child that claims more than it was lent would make the sum grow.
-        let unspent = unspent.min(loan.lent);
-        if let Some(call) = self.calls.get_mut(loan.call) {
-            call.held = call.held.saturating_add(unspent);
+        // A child that returns more than it got would increase the chain's budget.
+        let unspent = unspent.min(child.allotted);
+        if let Some(call) = self.calls.get_mut(child.call) {
+            call.available = call.available.saturating_add(unspent);
         }
     }
 
     fn first_attempt(&mut self, service: ServiceKey, now_us: u64) {
-        self.share(service).first_attempt(now_us);
+        self.share(service).record_first_attempt(now_us);
     }
 
     fn try_retry(&mut self, call: CallKey, service: ServiceKey, now_us: u64) -> bool {
-        let has_allotment = self.calls.get(call).is_some_and(|call| call.held > 0);
+        let has_allotment = self.calls.get(call).is_some_and(|call| call.available > 0);
         if !has_allotment || !self.share(service).try_retry(now_us) {
             return false;
         }
         if let Some(call) = self.calls.get_mut(call) {
-            call.held -= 1;
+            call.available -= 1;
         }
         true
     }
 
     fn close(&mut self, call: CallKey) -> u8 {
-        self.calls.remove(call).map_or(0, |call| call.held)
+        self.calls.remove(call).map_or(0, |call| call.available)
     }
 }
 
 impl ChainBudget {
-    /// Calls that are open.
+    /// Number of open calls.
     #[must_use]
     pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// Loans that were not ended by `give_back`.
+    /// Number of child allotments without a `return_unspent`.
     #[must_use]
-    pub fn loan_count(&self) -> usize {
-        self.loans.len()
+    pub fn child_allotment_count(&self) -> usize {
+        self.child_allotments.len()
     }
 
     fn share(&mut self, service: ServiceKey) -> &mut RetryShare {
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,4 +1,8 @@
-//! Retry budget of original requests and retry share of destinations.
+//! Decides whether failed attempts may be retried.
+//!
+//! Retries at each hop would multiply along a call chain. Here they are limited by
+//! one budget per original request, and by a share of the first attempts at each
+//! service.
 
 mod chain_budget;
 mod naive;
@@ -13,57 +17,57 @@
 use crate::{arena_key, model::ServiceKey};
 
 arena_key! {
-    /// A request that this node has in flight, as a holder of retry allotment.
+    /// Key of a call that this node has in flight, with its retry allotment.
     CallKey
 }
 
 arena_key! {
-    /// Allotment that a call lent to one child call.
+    /// Key of the allotment that a call passed on to one child call.
     ChildAllotmentKey
 }
 
-/// Allotment that a child call carries.
+/// Retry allotment of a child call.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub struct ChildAllotment {
-    /// Names the loan when the child's answer comes.
+    /// Identifies the allotment when the child's response is received.
     pub key: ChildAllotmentKey,
     /// Retries that the child and its descendants may spend.
     pub allotment: u8,
 }
 
-/// Decides whether a failed attempt may be repeated.
+/// Decides whether a failed attempt may be retried.
 ///
-/// The allotment of a call is moved to a child call and comes back with the
-/// child's answer; it is never copied, so that the sum over the whole chain
-/// never grows.
+/// Allotment is moved from a call to its child calls and returns with their
+/// responses. It is never copied, so that the sum over the whole chain never
+/// grows.
 pub trait RetryPolicy: Sized + Send + 'static {
     /// A policy without calls.
     fn new() -> Self;
 
-    /// Holds each destination to these limits.
+    /// Sets the limits that apply to each called service.
     #[must_use]
     fn with_share_limits(self, limits: ShareLimits) -> Self;
 
-    /// A call begins with the allotment that came with it.
+    /// Adds a call with the allotment that it received.
     fn open(&mut self, allotment: u8) -> CallKey;
 
-    /// Takes allotment out of a call for a child; the child carries it.
-    /// A call that is over lends nothing.
+    /// Moves part of a call's allotment to a child call. A closed call has none.
     fn allot_to_child(&mut self, call: CallKey) -> ChildAllotment;
 
-    /// Puts back what a child did not spend, at most what it was lent and
-    /// only once. A child whose answer was lost gives back nothing, since it
-    /// may still be spending it: end its loan with 0.
-    fn return_unspent(&mut self, loan: ChildAllotmentKey, unspent: u8);
+    /// Gives a child's unspent retries back to its call: at most what the child got,
+    /// and only once. For a child whose response was lost, `unspent` must be 0,
+    /// since it may still spend its allotment.
+    fn return_unspent(&mut self, key: ChildAllotmentKey, unspent: u8);
 
-    /// Counts a first attempt at a destination.
+    /// Counts a first attempt at a service.
     fn first_attempt(&mut self, service: ServiceKey, now_us: u64);
 
-    /// Asks for one more attempt; spends allotment when granted.
+    /// Requests one more attempt at a service; returns whether it is allowed and
+    /// spends allotment if so.
     fn try_retry(&mut self, call: CallKey, service: ServiceKey, now_us: u64) -> bool;
 
-    /// A call ends; what it did not spend goes back to its parent. Loans that
-    /// are still out are lost.
+    /// Removes a call and returns its unspent retries, which go back to its parent.
+    /// Allotments that its children have not returned are lost.
     fn close(&mut self, call: CallKey) -> u8;
 }
--- a/src/retry/naive.rs
+++ b/src/retry/naive.rs
@@ -1,4 +1,4 @@
-//! Baseline: the same number of retries at every hop.
+//! Baseline for comparisons: the same number of retries at every hop.
 
 use {
     super::{CallKey, ChildAllotment, ChildAllotmentKey, RetryPolicy, ShareLimits},
@@ -8,20 +8,20 @@
 /// Retries of each call at each hop.
 pub const NAIVE_RETRY_COUNT: u8 = 3;
 
-/// Every call may be retried three times at its hop, whatever hops above and
-/// below do. Kept as the comparison: a chain of depth d may attempt its
-/// deepest call 4^d times.
+/// Allows three retries of each call at each hop, regardless of the other hops.
+/// Only for comparisons: a chain of depth d may attempt its deepest call 4^d
+/// times.
 #[derive(Debug)]
 pub struct NaiveRetry {
     calls: Arena<CallKey, u8>,
-    loans: Arena<ChildAllotmentKey, CallKey>,
+    child_allotments: Arena<ChildAllotmentKey, CallKey>,
 }
 
 impl RetryPolicy for NaiveRetry {
     fn new() -> Self {
         Self {
             calls: Arena::new(),
-            loans: Arena::new(),
+            child_allotments: Arena::new(),
         }
     }
 
@@ -35,21 +35,21 @@
 
     fn allot_to_child(&mut self, call: CallKey) -> ChildAllotment {
         ChildAllotment {
-            key: self.loans.insert(call),
+            key: self.child_allotments.insert(call),
             allotment: NAIVE_RETRY_COUNT,
         }
     }
 
-    fn return_unspent(&mut self, loan: ChildAllotmentKey, _unspent: u8) {
-        self.loans.remove(loan);
+    fn return_unspent(&mut self, key: ChildAllotmentKey, _unspent: u8) {
+        self.child_allotments.remove(key);
     }
 
     fn first_attempt(&mut self, _service: ServiceKey, _now_us: u64) {}
 
     fn try_retry(&mut self, call: CallKey, _service: ServiceKey, _now_us: u64) -> bool {
         match self.calls.get_mut(call) {
-            Some(left) if *left > 0 => {
-                *left -= 1;
+            Some(available) if *available > 0 => {
+                *available -= 1;
                 true
             }
             _ => false,
--- a/src/retry/share.rs
+++ b/src/retry/share.rs
@@ -1,29 +1,29 @@
-//! Share of retries among the attempts at one destination.
+//! Limits retries at one service to a share of the first attempts there.
 
-/// Retries at a destination per hundred first attempts.
+/// Retries at a service per hundred first attempts.
 pub const RETRY_SHARE_PERCENT: u32 = 10;
-/// Retries that are allowed in a window without first attempts, so that a
-/// destination with little traffic can be retried at all.
+/// Retries in a window that are allowed in addition to the share, so that a
+/// service with little traffic can be retried at all.
 pub const RETRY_FLOOR_COUNT: u32 = 10;
-/// Length of the sliding window.
+/// Length of the sliding window over which attempts are counted.
 pub const SHARE_WINDOW_US: u64 = 10_000_000;
 const BUCKET_COUNT: usize = 10;
 const BUCKET_US: u64 = SHARE_WINDOW_US / BUCKET_COUNT as u64;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
-    /// Number of the bucket's span since time 0; tells reuse.
-    span: u64,
+    /// Index of the bucket's time span since time 0; detects a reused bucket.
+    span_index: u64,
     first_count: u32,
     retry_count: u32,
 }
 
-/// Retries that a node may make at a destination in a window.
+/// Limits of a node's retries at one service in a window.
 #[derives::key]
 pub struct ShareLimits {
     /// Retries per hundred first attempts.
     pub percent: u32,
-    /// Retries that are allowed without first attempts.
+    /// Retries that are allowed in addition to the share.
     pub floor_count: u32,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// First attempts and retries at one destination in a sliding window.
+/// First attempts and retries at one service in a sliding window.
 #[derive(Debug, Default)]
 pub struct RetryShare {
     limits: ShareLimits,
@@ -54,40 +54,45 @@
     }
 
     /// Counts a first attempt.
-    pub fn first_attempt(&mut self, now_us: u64) {
+    pub fn record_first_attempt(&mut self, now_us: u64) {
         self.bucket(now_us).first_count += 1;
     }
 
-    /// Counts a retry when it stays within the share.
+    /// Counts a retry if the limits allow it; returns whether they do.
     pub fn try_retry(&mut self, now_us: u64) -> bool {
-        let (first_count, retry_count) = self.sums(now_us);
-        let allowed = self.limits.floor_count + first_count * self.limits.percent / 100;
-        if retry_count >= allowed {
+        let (first_count, retry_count) = self.counts(now_us);
+        let allowed_count = self.limits.floor_count + first_count * self.limits.percent / 100;
+        if retry_count >= allowed_count {
             return false;
         }
         self.bucket(now_us).retry_count += 1;
         true
     }
 
+    /// Bucket of the current time, cleared if it counts an earlier time span.
     fn bucket(&mut self, now_us: u64) -> &mut Bucket {
-        let span = now_us / BUCKET_US;
-        let bucket = &mut self.buckets[span as usize % BUCKET_COUNT];
-        if bucket.span != span {
+        let span_index = now_us / BUCKET_US;
+        let bucket = &mut self.buckets[span_index as usize % BUCKET_COUNT];
+        if bucket.span_index != span_index {
             *bucket = Bucket {
-                span,
+                span_index,
                 ..Bucket::default()
             };
         }
         bucket
     }
 
-    fn sums(&self, now_us: u64) -> (u32, u32) {
-        let span = now_us / BUCKET_US;
+    /// First attempts and retries in the window.
+    fn counts(&self, now_us: u64) -> (u32, u32) {
+        let span_index = now_us / BUCKET_US;
         self.buckets
             .iter()
-            .filter(|bucket| bucket.span + BUCKET_COUNT as u64 > span)
-            .fold((0, 0), |(first, retry), bucket| {
-                (first + bucket.first_count, retry + bucket.retry_count)
+            .filter(|bucket| bucket.span_index + BUCKET_COUNT as u64 > span_index)
+            .fold((0, 0), |(first_count, retry_count), bucket| {
+                (
+                    first_count + bucket.first_count,
+                    retry_count + bucket.retry_count,
+                )
             })
     }
 }
--- a/src/timer.rs
+++ b/src/timer.rs
@@ -1,4 +1,4 @@
-//! Timer service: parts subscribe to ticks instead of reading clocks.
+//! Timer service: tasks subscribe to ticks instead of reading clocks.
 
 use {
     nix::time::{ClockId, clock_gettime},
@@ -7,10 +7,10 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// Period of the systems that run over the tables while requests run or wait.
+/// Period of the tasks that process the tables while requests run or wait.
 pub const TICK_MS: u64 = 10;
 
-/// Period of these systems while there is nothing to do.
+/// Period of these tasks while the node is idle.
 pub const IDLE_TICK_MS: u64 = 100;
 
 /// Monotonic time of this process, in microseconds since its timer started.
@@ -28,16 +28,16 @@
     }
 }
 
-/// Gives out ticks and the time.
+/// Provides ticks and the time.
 ///
-/// Each subscription waits on the runtime's own timers. All count from the
-/// start of this timer, so that parts of different periods wake at the same
-/// moments: an idle node spends most of its time on being woken.
+/// Each subscription waits on the runtime's timers. All count from the start of
+/// this timer, so that tasks with different periods wake up together: an
+/// idle node spends most of its CPU time on wake-ups.
 #[derive(Debug, Clone)]
 pub struct Timer {
     started: Instant,
     started_unix_ms: u64,
-    booted: Duration,
+    started_since_boot: Duration,
     shutdown: CancellationToken,
 }
 
@@ -48,40 +48,40 @@
         Self {
             started: Instant::now(),
             started_unix_ms: unix_ms(),
-            booted: since_boot(),
+            started_since_boot: since_boot(),
             shutdown,
         }
     }
 
-    /// Time now, more precise than the last tick.
+    /// Current time, more precise than the last tick.
     #[must_use]
     pub fn now_us(&self) -> u64 {
-        let elapsed = since_boot().saturating_sub(self.booted);
+        let elapsed = since_boot().saturating_sub(self.started_since_boot);
         u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Time now in milliseconds.
+    /// Current time in milliseconds.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         self.now_us() / 1000
     }
 
-    /// Time since the Unix epoch in milliseconds, as the clock told it when this
-    /// process started. A step of the clock does not change it.
+    /// Time since the Unix epoch in milliseconds, based on the wall clock at the
+    /// start of this process. A step of the wall clock does not change it.
     #[must_use]
     pub fn steady_unix_ms(&self) -> u64 {
         self.started_unix_ms + self.now_ms()
     }
 
-    /// Subscribes to ticks that are `period_ms` apart; the first one comes at
-    /// once.
+    /// Subscribes to ticks that are `period_ms` apart; the first one is
+    /// immediate.
     #[must_use]
     pub fn subscribe(&self, period_ms: u64) -> Subscription {
         let period = Duration::from_millis(period_ms);
         let started = tokio::time::Instant::from_std(self.started);
         let mut interval = tokio::time::interval_at(started, period);
-        // A part that was busy gets one tick, not all that it missed, and its
-        // later ticks stay aligned with those of the other parts.
+        // A task that was busy gets one tick instead of all that it missed, and
+        // its later ticks stay aligned with those of the other tasks.
         interval.set_missed_tick_behavior(MissedTickBehavior::Skip);
         Subscription {
             timer: self.clone(),
@@ -90,7 +90,7 @@
     }
 }
 
-/// A part's own sequence of ticks.
+/// Sequence of ticks of one task.
 #[derive(Debug)]
 pub struct Subscription {
     timer: Timer,
@@ -108,19 +108,19 @@
     }
 }
 
-/// Time since the instance booted, the time that it was suspended included.
+/// Time since the instance booted, including suspended time.
 ///
-/// The usual monotonic clock stands still while an instance is suspended. A
-/// lease counted on it would outlive its time: a node that wakes up would go on
-/// honouring a key that was taken away meanwhile.
+/// `CLOCK_MONOTONIC` stops while an instance is suspended. A lease measured with
+/// it would last too long: after a resume, the node would still accept a key that
+/// was revoked meanwhile.
 fn since_boot() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
 
 /// Wall-clock time in milliseconds since the Unix epoch.
 ///
-/// Only for stamps that are compared across processes with a margin, never
-/// for measuring how long something takes.
+/// Only for timestamps that are compared across processes with a margin, never
+/// for measuring durations.
 #[must_use]
 pub fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now()
--- a/tests/arena.rs
+++ b/tests/arena.rs
@@ -1,4 +1,4 @@
-//! Arena keys outlive their entries harmlessly.
+//! A stale arena key never finds another entry.
 
 use dogwoodbridge::{arena::Arena, arena_key};
 
@@ -7,8 +7,10 @@
     EntryKey
 }
 
+/// A key is kept after its entry was removed, and the slot is reused. The key must
+/// not find the new entry.
 #[test]
-fn an_old_key_finds_nothing_after_its_place_is_reused() {
+fn a_stale_key_finds_nothing_after_its_slot_is_reused() {
     let mut arena: Arena<EntryKey, u32> = Arena::new();
     let first = arena.insert(1);
     assert_eq!(arena.remove(first), Some(1));
