--- a/src/routing/latency.rs
+++ b/src/routing/latency.rs
@@ -33,7 +33,7 @@
     pub fn add_sample(&mut self, latency_us: u64, now_us: u64) {
         let latency_us = latency_us as f64;
         let elapsed_us = now_us.saturating_sub(self.last_sample_us) as f64;
-        // Samples in the same microsecond also count.
+        // Samples in the same microsecond get a weight too.
         let weight = (1.0 - (-elapsed_us / SAMPLE_DECAY_US).exp()).max(0.001);
         self.mean_us = Some(match self.mean_us {
             Some(mean_us) => mean_us + (latency_us - mean_us) * weight,
--- a/src/routing/zone_router.rs
+++ b/src/routing/zone_router.rs
@@ -47,6 +47,7 @@
 struct Service {
     tiers: [Vec<TargetKey>; DISTANCE_COUNT],
     median_us: f64,
+    /// Time of the last request that was sent although all targets shed its class.
     last_probe_us: Option<u64>,
 }
 
