--- a/src/membership/liveness_probe.rs
+++ b/src/membership/liveness_probe.rs
@@ -33,7 +33,7 @@
 }
 
 impl LivenessProbes {
-    /// Numbers probes from `first` on. A random `first` prevents recorded
+    /// Numbers probes from `first_number` on. A random one prevents recorded
     /// responses to an earlier process from being accepted as new.
     #[must_use]
     pub const fn new(first_number: u64) -> Self {
--- a/src/membership/probes.rs
+++ b/src/membership/probes.rs
@@ -40,8 +40,8 @@
         )
     }
 
-    /// Checks whether a member is alive. A request that exceeds the queue is
-    /// dropped, since the next one follows soon.
+    /// Checks whether a member is alive. The request is dropped if the queue is
+    /// full, since the next one follows soon.
     pub fn ask(&self, node_id: &str) {
         let _ = self
             .requests
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -308,11 +308,11 @@
         fleet.set_state(1, OwnState::default());
     }
     let seed = fleet.nodes[0].address;
-    let own = Record {
+    let own_record = Record {
         started_unix_ms: 2,
         ..record("n1-2", 1, 2)
     };
-    fleet.nodes[1].swim = Swim::new(own, vec![seed]);
+    fleet.nodes[1].swim = Swim::new(own_record, vec![seed]);
     fleet.run_until(10_000, |fleet| {
         [0, 2].iter().all(|index| {
             let member = fleet.nodes[*index].view.member("n1-2");
@@ -342,11 +342,11 @@
             .iter()
             .all(|index| fleet.member_state(*index, "n1-2") == Some(MemberState::Left))
     });
-    let own = Record {
+    let own_record = Record {
         started_unix_ms: 0,
         ..record("n1-2", 1, 2)
     };
-    fleet.nodes[1].swim = Swim::new(own, vec![seed]);
+    fleet.nodes[1].swim = Swim::new(own_record, vec![seed]);
     fleet.nodes[1].swim.add_seeds(&SeedAddresses {
         near: vec![seed],
         far: Vec::new(),
--- a/tests/membership_support/mod.rs
+++ b/tests/membership_support/mod.rs
@@ -109,15 +109,15 @@
         let mut nodes = Vec::new();
         for zone in 1..=zone_count {
             for index in 1..=nodes_per_zone {
-                let own = record(&format!("n{zone}-{index}"), zone, index);
-                let address = own.gossip_address();
+                let own_record = record(&format!("n{zone}-{index}"), zone, index);
+                let address = own_record.gossip_address();
                 let seeds = if address == first {
                     Vec::new()
                 } else {
                     vec![first]
                 };
                 nodes.push(SimulatedNode {
-                    swim: Swim::new(own, seeds),
+                    swim: Swim::new(own_record, seeds),
                     address,
                     zone,
                     view: View::default(),
