--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -123,7 +123,7 @@
     if running.len() > kept
         && let Some(ticket) = running.pop_front()
     {
-        policy.end(ticket, TargetResult::Answered, now_us, decisions);
+        policy.end(ticket, TargetResult::Completed, now_us, decisions);
     }
 }
 
@@ -147,7 +147,7 @@
     let started = Instant::now();
     for index in 0..ROUND_COUNT {
         let call = budget.open(3);
-        budget.first_attempt(service, u64::from(index) * 100);
+        budget.record_first_attempt(service, u64::from(index) * 100);
         let loan = budget.allot_to_child(call);
         budget.return_unspent(loan.key, loan.allotment);
         black_box(budget.close(call));
@@ -185,7 +185,7 @@
         let now_us = u64::from(index) * 100;
         if let Ok(target) = router.pick(wanted, &[], now_us, &mut rng) {
             let level = Some(AdmissionLevel::idle());
-            router.end(target, AttemptResult::Answered, 10_000, level, now_us);
+            router.end_attempt(target, AttemptResult::Completed, 10_000, level, now_us);
         }
     }
     per_round(started, ROUND_COUNT)
--- a/benches/quota.rs
+++ b/benches/quota.rs
@@ -3,12 +3,14 @@
 use {
     dogwoodbridge::{
         freshness::{Freshness, Snapshot},
-        guard::{Finish, GuardTable, GuardTime, History, KeyedRequest, StoredAnswer},
+        guard::{
+            ExecutionResult, GuardTable, GuardTime, KeyedRequest, SliceHistory, StoredResponse,
+        },
         membership::{Member, MemberPorts, MemberState, View},
         model::{Class, Names, WorkspaceKey},
         quota::{self, QuotaGate, QuotaInputs, Rate, Rates},
         rpc,
-        slices::{Observed, Planner, SliceIndex, SliceTable, Slot},
+        slices::{Planner, PlannerInput, SliceIndex, SliceTable, Slot},
         timer::Timer,
     },
     std::{
@@ -105,8 +107,8 @@
 
 fn guard() {
     let mut table = GuardTable::new(1);
-    let history = History {
-        since_version: 1,
+    let history = SliceHistory {
+        since_epoch: 1,
         known_since_unix_ms: 0,
     };
     SliceIndex::all().for_each(|slice| table.hold(slice, history));
@@ -114,7 +116,7 @@
         now_ms: 1,
         unix_ms: 1_700_000_000_000,
     };
-    let response = StoredAnswer {
+    let response = StoredResponse {
         status: 200,
         headers: vec![],
         body: bytes::Bytes::from_static(b"done"),
@@ -124,7 +126,11 @@
         let header = format!("order {number}");
         let request = KeyedRequest::new(WorkspaceKey::new(0), "shop", &header, 1);
         table.begin(&request, time, Freshness::Fresh);
-        table.finish(request.key, Finish::Answered(response.clone()), time);
+        table.finish(
+            request.key,
+            ExecutionResult::Responded(response.clone()),
+            time,
+        );
     }
     report("begin and finish a key", KEY_COUNT, started.elapsed());
 }
@@ -135,7 +141,7 @@
     let view = View { members };
     let mut planner = Planner::new(own.clone());
     let table = SliceTable::new(own.clone());
-    let observed = |table, now_ms| Observed {
+    let observed = |table, now_ms| PlannerInput {
         table,
         view: &view,
         freshness: Freshness::Fresh,
--- a/lab/tests/quota_faults.rs
+++ b/lab/tests/quota_faults.rs
@@ -9,7 +9,7 @@
 use {
     dogwoodbridge::{
         membership::{Member, MemberPorts, MemberState, View},
-        quota::{Rate, banks, window_violations},
+        quota::{Rate, pool_nodes, window_violations},
         settings::ports,
     },
     futures::future::join_all,
@@ -164,7 +164,7 @@
         .collect();
     members.sort_by(|a, b| a.node_id.cmp(&b.node_id));
     let view = View { members };
-    let bank = banks(&view, workspace, "");
+    let bank = pool_nodes(&view, workspace, "");
     let bank = bank.first().expect("a mesh with nodes");
     let place = mesh
         .instances
--- a/src/admission/adaptive.rs
+++ b/src/admission/adaptive.rs
@@ -151,7 +151,7 @@
             .tick(self.waiting_count(), self.capacity(now_us), now_us);
     }
 
-    fn report(&mut self, report: LoadReport) {
+    fn record_load_report(&mut self, report: LoadReport) {
         self.limit.record_load_report(report);
     }
 
@@ -205,7 +205,7 @@
     ) {
         let latency_us = now_us.saturating_sub(started_us) as f64;
         let is_sample = match result {
-            TargetResult::Answered => true,
+            TargetResult::Completed => true,
             // The latency of a request cancelled while running is a lower bound. Without these
             // samples, only fast requests would count while a slow target times out.
             TargetResult::Cancelled => latency_us > self.service_time.mean_us(now_us),
--- a/src/admission/admit_all.rs
+++ b/src/admission/admit_all.rs
@@ -57,7 +57,7 @@
 
     fn tick(&mut self, _now_us: u64, _decisions: &mut Vec<Decision>) {}
 
-    fn report(&mut self, _report: LoadReport) {}
+    fn record_load_report(&mut self, _report: LoadReport) {}
 
     fn drain(&mut self) {
         self.draining = true;
--- a/src/admission/downstream.rs
+++ b/src/admission/downstream.rs
@@ -90,7 +90,7 @@
 
 /// Admitted share of new requests by class. Pure state: performs no I/O and reads no clock.
 #[derive(Debug, Clone)]
-pub struct Downstream {
+pub struct DownstreamAdmission {
     load_window: LoadWindow,
     last_step_us: u64,
     call_window: CallWindow,
@@ -99,18 +99,18 @@
     load_percent: f64,
     shares: [f64; CLASS_COUNT],
     /// Decides whether throttling a class would reduce the load downstream.
-    pub relief: WorkShares,
+    pub work_shares: WorkShares,
     /// Whether the requests of each class depend on calls; assumed until shown otherwise.
     depends_on_calls: [bool; CLASS_COUNT],
 }
 
-impl Default for Downstream {
+impl Default for DownstreamAdmission {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Downstream {
+impl DownstreamAdmission {
     /// A state that admits every request.
     #[must_use]
     pub fn new() -> Self {
@@ -122,13 +122,13 @@
             failure_totals: FailureTotals::default(),
             load_percent: 0.0,
             shares: [1.0; CLASS_COUNT],
-            relief: WorkShares::new(),
+            work_shares: WorkShares::new(),
             depends_on_calls: [true; CLASS_COUNT],
         }
     }
 
     /// Records the end of a downstream call of the local target.
-    pub fn note(&mut self, has_failed: bool, now_us: u64) {
+    pub fn record_call(&mut self, has_failed: bool, now_us: u64) {
         let failed_count = u32::from(has_failed);
         self.call_window.call_count += 1;
         self.call_window.failed_count += failed_count;
@@ -138,14 +138,14 @@
     }
 
     /// Records the load that a response to such a call reported.
-    pub fn note_level(&mut self, level: AdmissionLevel, now_us: u64) {
+    pub fn record_level(&mut self, level: AdmissionLevel, now_us: u64) {
         self.load_window.count += 1;
         self.load_window.sum_percent += u64::from(level.load_percent.max(level.below_percent));
         self.update(now_us);
     }
 
     /// Records that the local target responded to a new request of this class.
-    pub fn note_end(&mut self, class: Class, has_failed: bool) {
+    pub fn record_request_end(&mut self, class: Class, has_failed: bool) {
         let ended_requests = &mut self.failure_totals.ended_requests[class.index()];
         ended_requests.count += 1;
         ended_requests.failed_count += u32::from(has_failed);
@@ -159,7 +159,7 @@
             true => self.shares[ranked_class.index()],
             false => 1.0,
         };
-        draw < share || !self.relief.would_reduce_downstream_load(class, now_us)
+        draw < share || !self.work_shares.would_reduce_downstream_load(class, now_us)
     }
 
     /// Admitted share of this class, 0 to 1.
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -19,7 +19,7 @@
 pub use {
     adaptive::Adaptive,
     admit_all::AdmitAll,
-    downstream::Downstream,
+    downstream::DownstreamAdmission,
     limit::{ConcurrencyLimit, MIN_LIMIT, REPORT_AGE_LIMIT_US},
     static_limit::StaticLimit,
     work_shares::WorkShares,
@@ -61,7 +61,7 @@
 #[derives::key]
 pub enum TargetResult {
     /// The target sent a complete response.
-    Answered,
+    Completed,
     /// The target itself shed the request (it responded with 503 or 429).
     Shed,
     /// The target failed or its response was lost.
@@ -125,7 +125,7 @@
     fn tick(&mut self, now_us: u64, decisions: &mut Vec<Decision>);
 
     /// Records a load report of the target, used as a hint.
-    fn report(&mut self, report: LoadReport);
+    fn record_load_report(&mut self, report: LoadReport);
 
     /// Refuses all requests that arrive from now on; waiting ones may still start.
     fn drain(&mut self);
--- a/src/admission/static_limit.rs
+++ b/src/admission/static_limit.rs
@@ -102,7 +102,7 @@
         self.start_waiting(now_us, decisions);
     }
 
-    fn report(&mut self, _report: LoadReport) {}
+    fn record_load_report(&mut self, _report: LoadReport) {}
 
     fn drain(&mut self) {
         self.draining = true;
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -131,7 +131,7 @@
             host.and_then(|host| Some(self.hosts.find(&plain_host(host), path)?.regions));
         let [of_workspace, of_route] =
             [of_workspace, of_route].map(|regions| regions.unwrap_or(RegionSet::ANY));
-        of_workspace.both(of_route)
+        of_workspace.intersection(of_route)
     }
 
     /// What a key is worth. A revocation outweighs every grant.
--- a/src/control/sources.rs
+++ b/src/control/sources.rs
@@ -11,7 +11,7 @@
         membership::GossipTraffic,
         platform::Platform,
         rpc::{CallKind, RpcClient},
-        slices::{HeldTable, Section},
+        slices::{Section, VersionedSliceTable},
     },
     prometheus_client::{
         collector::Collector,
@@ -40,7 +40,7 @@
     /// Documents held.
     pub store: DocumentStore,
     /// Slice table followed.
-    pub tables: watch::Receiver<Option<Arc<HeldTable>>>,
+    pub tables: watch::Receiver<Option<Arc<VersionedSliceTable>>>,
     /// Records of idempotency keys.
     pub guard: Arc<GuardHome>,
 }
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        guard::{Begin, Finish, GuardHome, GuardKey, KeyedRequest},
+        guard::{BeginDecision, ExecutionResult, GuardHome, GuardKey, KeyedRequest},
         model::{Reason, Refusal},
         node::{Home, KeyGuard},
-        slices::{HeldTable, Section},
+        slices::{Section, VersionedSliceTable},
     },
     std::sync::Arc,
     tokio::sync::watch,
@@ -18,7 +18,7 @@
 pub struct FleetGuard {
     node_id: String,
     own: Arc<GuardHome>,
-    tables: watch::Receiver<Option<Arc<HeldTable>>>,
+    tables: watch::Receiver<Option<Arc<VersionedSliceTable>>>,
 }
 
 impl FleetGuard {
@@ -26,7 +26,7 @@
     pub const fn new(
         node_id: String,
         own: Arc<GuardHome>,
-        tables: watch::Receiver<Option<Arc<HeldTable>>>,
+        tables: watch::Receiver<Option<Arc<VersionedSliceTable>>>,
     ) -> Self {
         Self {
             node_id,
@@ -45,16 +45,16 @@
         };
         let owner = held.table.owner(Section::Keys, key.slice());
         if owner.node_id == self.node_id {
-            return Ok(Home::Own);
+            return Ok(Home::Local);
         }
         Ok(Home::Node(owner.node_id.clone()))
     }
 
-    fn begin(&self, request: KeyedRequest) -> Begin {
+    fn begin(&self, request: KeyedRequest) -> BeginDecision {
         self.own.begin(&request)
     }
 
-    fn finish(&self, key: GuardKey, finish: Finish) {
+    fn finish(&self, key: GuardKey, finish: ExecutionResult) {
         self.own.finish(key, finish);
     }
 }
--- a/src/daemon/hosted/no_guard.rs
+++ b/src/daemon/hosted/no_guard.rs
@@ -1,7 +1,7 @@
 //! No guard of idempotency keys, where callers have none.
 
 use crate::{
-    guard::{Begin, Finish, GuardKey, KeyedRequest},
+    guard::{BeginDecision, ExecutionResult, GuardKey, KeyedRequest},
     model::{Reason, Refusal},
     node::{Home, KeyGuard},
 };
@@ -15,9 +15,9 @@
         Err(Refusal::not_run(Reason::NoHome))
     }
 
-    fn begin(&self, _request: KeyedRequest) -> Begin {
-        Begin::Refuse(Refusal::not_run(Reason::NoHome))
+    fn begin(&self, _request: KeyedRequest) -> BeginDecision {
+        BeginDecision::Refuse(Refusal::not_run(Reason::NoHome))
     }
 
-    fn finish(&self, _key: GuardKey, _finish: Finish) {}
+    fn finish(&self, _key: GuardKey, _finish: ExecutionResult) {}
 }
--- a/src/daemon/inputs.rs
+++ b/src/daemon/inputs.rs
@@ -4,7 +4,7 @@
     crate::{
         conf::Running,
         documents::{DocumentKind, DocumentStore, Versions},
-        freshness::Heard,
+        freshness::FreshnessObservation,
         membership::{Gossip, OwnState},
         quota::Rates,
     },
@@ -16,14 +16,17 @@
 const HEARD_LENGTH: usize = 1024;
 
 /// Replies to own probes and looks at the platform, for freshness.
-pub fn heard(gossip: &Gossip, mut seen: watch::Receiver<Option<u64>>) -> mpsc::Receiver<Heard> {
+pub fn heard(
+    gossip: &Gossip,
+    mut seen: watch::Receiver<Option<u64>>,
+) -> mpsc::Receiver<FreshnessObservation> {
     let (sender, receiver) = mpsc::channel(HEARD_LENGTH);
     let mut stamps = gossip.stamps.subscribe();
     tokio::spawn(async move {
         loop {
             let heard = tokio::select! {
                 stamp = stamps.recv() => match stamp {
-                    Ok(stamp) => Heard::Reply(stamp),
+                    Ok(stamp) => FreshnessObservation::Reply(stamp),
                     Err(RecvError::Lagged(_)) => continue,
                     Err(RecvError::Closed) => return,
                 },
@@ -34,8 +37,8 @@
                     match *seen.borrow_and_update() {
                         // The follower tells of a look only once this node holds
                         // all that it showed.
-                        Some(asked_ms) => {
-                            Heard::Platform { asked_ms, versions: Versions::default() }
+                        Some(poll_started_ms) => {
+                            FreshnessObservation::Platform { poll_started_ms, versions: Versions::default() }
                         }
                         None => continue,
                     }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -83,7 +83,7 @@
         node_id: settings.node_id.clone(),
         zone: settings.zone.clone(),
         ip: settings.reachable_ip(),
-        mark_epoch: None,
+        suspected_epoch: None,
     };
 
     let (own_state, _) = watch::channel(OwnState::default());
@@ -138,7 +138,7 @@
         FreshnessTracker::new(&settings.node_id, &settings.zone),
         FreshnessInputs {
             timer: timer.clone(),
-            heard: inputs::heard(&gossip, followed.seen),
+            observations: inputs::heard(&gossip, followed.seen),
             view: gossip.view.clone(),
             versions: inputs::versions(&store, &own_state, &shutdown),
             table,
@@ -165,7 +165,7 @@
     ));
     let (draining_sender, draining) = watch::channel(false);
     let tables = slices::spawn(SliceInputs {
-        own: own.clone(),
+        own_slot: own.clone(),
         timer: timer.clone(),
         view: gossip.view.clone(),
         freshness: freshness.clone(),
@@ -214,7 +214,7 @@
     let operator_secret = settings.operator_secret.clone();
     spawn_operators(control_address, operator_secret, operated, shutdown.clone()).await?;
     tokio::spawn(shutdown::drain_at_signal(Arc::clone(&node)));
-    node.drain_begins().await;
+    node.wait_until_draining().await;
     draining_sender.send_replace(true);
     tasks.wait().await;
     wait_for_slices(&own.node_id, tables).await;
@@ -225,9 +225,9 @@
 
 async fn wait_for_slices(
     node_id: &str,
-    mut tables: watch::Receiver<Option<Arc<slices::HeldTable>>>,
+    mut tables: watch::Receiver<Option<Arc<slices::VersionedSliceTable>>>,
 ) {
-    let owns_nothing = |held: &Option<Arc<slices::HeldTable>>| {
+    let owns_nothing = |held: &Option<Arc<slices::VersionedSliceTable>>| {
         held.as_ref().is_none_or(|held| {
             let table = &held.table;
             table.find(node_id).is_none_or(|slot| {
--- a/src/daemon/operated.rs
+++ b/src/daemon/operated.rs
@@ -15,7 +15,7 @@
         quota::LeasedQuota,
         retry::RetryPolicy,
         routing::ZoneRouter,
-        slices::{HeldTable, Section},
+        slices::{Section, VersionedSliceTable},
     },
     std::sync::Arc,
     tokio::sync::watch,
@@ -29,7 +29,7 @@
     node: Arc<DaemonNode<A, T>>,
     store: DocumentStore,
     revocations: Revocations,
-    tables: watch::Receiver<Option<Arc<HeldTable>>>,
+    tables: watch::Receiver<Option<Arc<VersionedSliceTable>>>,
     traffic: Arc<Traffic>,
 }
 
@@ -51,7 +51,7 @@
         node: Arc<DaemonNode<A, T>>,
         store: DocumentStore,
         revocations: Revocations,
-        tables: watch::Receiver<Option<Arc<HeldTable>>>,
+        tables: watch::Receiver<Option<Arc<VersionedSliceTable>>>,
     ) -> Self {
         Self {
             node,
--- a/src/egress/announce.rs
+++ b/src/egress/announce.rs
@@ -9,7 +9,7 @@
         exchange::{AnswerBody, Collected, collect},
         membership::Announcement,
         node::{Node, Policies},
-        target::{PoolTarget, Standing},
+        target::{NoticeStatus, PoolTarget},
     },
     hyper::{Request, Response, body::Incoming},
 };
@@ -45,7 +45,7 @@
         } => leave(node, &instance_id, started_unix_ms),
         TargetNotice::Load { busy_ratio } => {
             let received_us = node.timer.now_us();
-            node.admission().report(LoadReport {
+            node.admission().record_load_report(LoadReport {
                 busy_ratio,
                 received_us,
             });
@@ -68,8 +68,8 @@
     } = heartbeat;
     let standing = node
         .registration()
-        .alive(&instance_id, started_unix_ms, sequence);
-    if standing == Standing::Outdated {
+        .record_heartbeat(&instance_id, started_unix_ms, sequence);
+    if standing == NoticeStatus::Outdated {
         event!(
             Event::NoticeOutdated,
             "instance={instance_id} started_unix_ms={started_unix_ms} sequence={sequence:?}"
@@ -123,7 +123,9 @@
 }
 
 fn leave<P: Policies>(node: &Node<P>, instance_id: &str, started_unix_ms: Option<u64>) {
-    let is_present = node.registration().leave(instance_id, started_unix_ms);
+    let is_present = node
+        .registration()
+        .record_leave(instance_id, started_unix_ms);
     event!(
         Event::TargetLeaving,
         "instance={instance_id} is_present={is_present}"
--- a/src/egress/attempts.rs
+++ b/src/egress/attempts.rs
@@ -189,7 +189,8 @@
     log_pick(node, call, target, tried.len());
     let outstanding = Outstanding::new(node, target, started_us);
     if tried.is_empty() {
-        node.retries().first_attempt(call.service, started_us);
+        node.retries()
+            .record_first_attempt(call.service, started_us);
     }
     tried.push(target);
     node.metrics.attempts.inc();
@@ -200,7 +201,7 @@
     let lent = loan.map_or(0, |loan| loan.allotment);
     let context = context_of(call, remaining_us, lent);
     let end = match place {
-        TargetLocation::Own => {
+        TargetLocation::Local => {
             let (result, unspent) = serve_local(node, &context, outbound).await;
             HopResult {
                 result,
@@ -227,7 +228,7 @@
         .level
         .filter(|_| P::Dialect::CALLS_LIKE_CALLERS && !call.is_new())
     {
-        node.downstream().note_level(level, node.timer.now_us());
+        node.downstream().record_level(level, node.timer.now_us());
     }
     outstanding.end(result_of(&end.result), end.level);
     end.result
@@ -290,7 +291,7 @@
     let service = node.names.service_name(call.service);
     let class = call.class.name();
     let routes = node.routes();
-    let to = routes.node_of(target);
+    let to = routes.node_name(target);
     event!(
         Event::RoutePicked,
         "request={id} service={service} class={class} node={to} tried={tried}"
@@ -299,7 +300,7 @@
 
 const fn result_of(result: &Result<Answer, Refusal>) -> AttemptResult {
     match result {
-        Ok(_) => AttemptResult::Answered,
+        Ok(_) => AttemptResult::Completed,
         Err(refusal) => match refusal.reason {
             Reason::ConnectionLost | Reason::BadAnswer | Reason::DeadlineExceeded => {
                 AttemptResult::Failed
@@ -338,7 +339,7 @@
         let mut routes = self.node.routes();
         routes
             .policy()
-            .end(self.target, result, latency_us, level, now_us);
+            .end_attempt(self.target, result, latency_us, level, now_us);
     }
 }
 
--- a/src/egress/child.rs
+++ b/src/egress/child.rs
@@ -23,7 +23,7 @@
     node: &Arc<Node<P>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let _in_flight = node.begin();
+    let _in_flight = node.begin_request();
     let (mut head, mut body) = request.into_parts();
     match serve(node, &mut head, &mut body).await {
         Ok(response) => response,
@@ -42,7 +42,7 @@
     body: &mut Incoming,
 ) -> Result<Response<AnswerBody>, Rejection> {
     let (handle, parent) = parent_of(node, &head.headers)?;
-    let over = parent.over.clone();
+    let over = parent.ended.clone();
     let calling = call(node, handle, &parent, head, body);
     tokio::select! {
         result = calling => result,
--- a/src/freshness/mod.rs
+++ b/src/freshness/mod.rs
@@ -8,7 +8,7 @@
 mod tracker;
 
 pub use {
-    task::{FreshnessInputs, Heard, spawn},
+    task::{FreshnessInputs, FreshnessObservation, spawn},
     tracker::{FreshnessTracker, Snapshot},
 };
 
--- a/src/freshness/task.rs
+++ b/src/freshness/task.rs
@@ -7,7 +7,7 @@
         event,
         events::Event,
         membership::{PeerStamp, View},
-        slices::HeldTable,
+        slices::VersionedSliceTable,
         timer::Timer,
     },
     std::sync::Arc,
@@ -20,13 +20,13 @@
 
 /// An observation that the freshness state is derived from.
 #[derives::value]
-pub enum Heard {
+pub enum FreshnessObservation {
     /// A member's reply to a probe of this node.
     Reply(PeerStamp),
     /// This node polled the platform.
     Platform {
         /// Monotonic time at which the poll started.
-        asked_ms: u64,
+        poll_started_ms: u64,
         /// Document versions that it returned.
         versions: Versions,
     },
@@ -37,13 +37,13 @@
     /// Clock and ticks.
     pub timer: Timer,
     /// Replies and this node's polls.
-    pub heard: mpsc::Receiver<Heard>,
+    pub observations: mpsc::Receiver<FreshnessObservation>,
     /// Membership view.
     pub view: watch::Receiver<Arc<View>>,
     /// Versions of the documents that this node holds.
     pub versions: watch::Receiver<Versions>,
     /// The slice table in force.
-    pub table: watch::Receiver<Option<Arc<HeldTable>>>,
+    pub table: watch::Receiver<Option<Arc<VersionedSliceTable>>>,
 }
 
 /// Starts the task, which ends with the timer.
@@ -65,12 +65,12 @@
             let mut zones_changed = false;
             tokio::select! {
                 tick = ticks.next() => if tick.is_none() { return },
-                Some(observation) = inputs.heard.recv() => record(&mut tracker, observation),
+                Some(observation) = inputs.observations.recv() => record(&mut tracker, observation),
                 Ok(()) = inputs.view.changed() => zones_changed = true,
                 Ok(()) = inputs.table.changed() => zones_changed = true,
                 Ok(()) = inputs.versions.changed() => {}
             }
-            while let Ok(observation) = inputs.heard.try_recv() {
+            while let Ok(observation) = inputs.observations.try_recv() {
                 record(&mut tracker, observation);
             }
             if zones_changed || is_first {
@@ -94,10 +94,13 @@
     (snapshot_receiver, confirmed_receiver)
 }
 
-fn record(tracker: &mut FreshnessTracker, observation: Heard) {
+fn record(tracker: &mut FreshnessTracker, observation: FreshnessObservation) {
     match observation {
-        Heard::Reply(stamp) => tracker.record_reply(&stamp),
-        Heard::Platform { asked_ms, versions } => tracker.record_poll(asked_ms, versions),
+        FreshnessObservation::Reply(stamp) => tracker.record_reply(&stamp),
+        FreshnessObservation::Platform {
+            poll_started_ms,
+            versions,
+        } => tracker.record_poll(poll_started_ms, versions),
     }
 }
 
--- a/src/guard/home.rs
+++ b/src/guard/home.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Begin, Finish, GuardKey, GuardTable, GuardTime, Handover, History, KeyedRequest,
-        SliceExport,
+        BeginDecision, ExecutionResult, GuardKey, GuardTable, GuardTime, Handover, KeyedRequest,
+        SliceExport, SliceHistory,
     },
     crate::{
         event,
@@ -62,7 +62,7 @@
 
     /// Decides on a keyed request; see [`GuardTable::begin`].
     #[must_use]
-    pub fn begin(&self, request: &KeyedRequest) -> Begin {
+    pub fn begin(&self, request: &KeyedRequest) -> BeginDecision {
         let mut state = self.lock();
         // Read under the lock, right before the decision: with a state read
         // before a process pause, two homes could execute the same key.
@@ -72,7 +72,7 @@
             false => Freshness::CutOff,
         };
         let begin = state.table.begin(request, time, freshness);
-        if let Begin::Refuse(refusal) = &begin
+        if let BeginDecision::Refuse(refusal) = &begin
             && refusal.outcome == Outcome::Unknown
         {
             let slice = request.key.slice().index();
@@ -86,7 +86,7 @@
     }
 
     /// Records how an execution ended.
-    pub fn finish(&self, key: GuardKey, finish: Finish) {
+    pub fn finish(&self, key: GuardKey, finish: ExecutionResult) {
         self.lock().table.finish(key, finish, self.time());
     }
 
@@ -122,7 +122,7 @@
             let held_epoch = state
                 .table
                 .history(slice)
-                .map(|history| history.since_version);
+                .map(|history| history.since_epoch);
             if owned.get(&slice).copied() != held_epoch {
                 state.table.release(slice, time);
             }
@@ -130,8 +130,8 @@
         for (slice, since_epoch) in owned {
             if state.table.history(slice).is_none() {
                 let is_first_owner = state.is_fleet_creator && since_epoch == 1;
-                let history = History {
-                    since_version: since_epoch,
+                let history = SliceHistory {
+                    since_epoch,
                     known_since_unix_ms: if is_first_owner { 0 } else { time.unix_ms },
                 };
                 state.table.hold(slice, history);
--- a/src/guard/mod.rs
+++ b/src/guard/mod.rs
@@ -9,8 +9,8 @@
 pub use {
     home::GuardHome,
     table::{
-        CLOCK_MARGIN_MS, GuardTable, GuardTime, History, KeyedRequest, MAX_RECORD_COUNT,
-        MAX_STORED_RESPONSE_BYTES, RETENTION_MS,
+        CLOCK_MARGIN_MS, GuardTable, GuardTime, KeyedRequest, MAX_RECORD_COUNT,
+        MAX_STORED_RESPONSE_BYTES, RETENTION_MS, SliceHistory,
     },
 };
 
@@ -33,7 +33,7 @@
 /// Response that is stored and replayed to resends.
 #[derives::value]
 #[derive(Eq)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Response headers.
@@ -42,7 +42,7 @@
     pub body: bytes::Bytes,
 }
 
-impl StoredAnswer {
+impl StoredResponse {
     /// Size of headers and body, in bytes.
     #[must_use]
     pub fn byte_count(&self) -> usize {
@@ -61,7 +61,7 @@
     /// Fingerprint of the request.
     pub fingerprint: u64,
     /// Its response; `None` when the outcome is unknown.
-    pub answer: Option<StoredAnswer>,
+    pub response: Option<StoredResponse>,
     /// Time until its retention ends.
     pub keep_for_ms: u64,
 }
@@ -73,7 +73,7 @@
     /// The slice.
     pub slice: SliceIndex,
     /// Execution history of the slice as the releasing home knew it.
-    pub history: History,
+    pub history: SliceHistory,
     /// Its stored keys.
     pub records: Vec<SliceRecord>,
 }
@@ -81,11 +81,11 @@
 /// A home's decision on a keyed request.
 #[derives::value]
 #[derive(Eq)]
-pub enum Begin {
+pub enum BeginDecision {
     /// Not executed before: execute it, then call `finish`.
     Execute,
     /// Executed before: return this stored response.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// Neither execute nor replay; return this refusal.
     Refuse(Refusal),
 }
@@ -93,11 +93,11 @@
 /// How an execution of a keyed request ended.
 #[derives::value]
 #[derive(Eq)]
-pub enum Finish {
+pub enum ExecutionResult {
     /// It provably did not run; a resend may be executed.
     NotRun,
     /// It ran and returned this response.
-    Answered(StoredAnswer),
+    Responded(StoredResponse),
     /// It may have run; resends are refused as unknown.
     Unknown,
 }
@@ -109,7 +109,7 @@
     /// The released slice with its keys.
     pub export: SliceExport,
     /// Epoch of the slice table that moved the slice.
-    pub moved_by_version: u64,
+    pub moved_by_epoch: u64,
     /// Start time of the process that the slice was released to, as known
     /// before the table was written.
     pub to_started_unix_ms: u64,
--- a/src/guard/table.rs
+++ b/src/guard/table.rs
@@ -2,7 +2,10 @@
 //! and how far back the executions in each held slice are known.
 
 use {
-    super::{Begin, Finish, GuardKey, Handover, SliceExport, SliceRecord, StoredAnswer},
+    super::{
+        BeginDecision, ExecutionResult, GuardKey, Handover, SliceExport, SliceRecord,
+        StoredResponse,
+    },
     crate::{
         freshness::Freshness,
         model::{Reason, Refusal},
@@ -55,9 +58,9 @@
 
 /// What this home knows of earlier executions in a slice.
 #[derives::key]
-pub struct History {
+pub struct SliceHistory {
     /// Epoch of the slice table that gave the slice to this home.
-    pub since_version: u64,
+    pub since_epoch: u64,
     /// Every execution since this wall clock time is known; 0 if nothing was
     /// ever executed elsewhere.
     pub known_since_unix_ms: u64,
@@ -66,7 +69,7 @@
 /// State of a slice that this home holds.
 #[derives::key]
 struct HeldSlice {
-    history: History,
+    history: SliceHistory,
     /// The earlier home's keys have not been imported yet.
     is_awaiting_handover: bool,
 }
@@ -74,7 +77,7 @@
 #[derives::value]
 enum State {
     InProgress,
-    Responded(StoredAnswer),
+    Responded(StoredResponse),
     /// It may have run, or its response was not stored.
     Unknown,
 }
@@ -128,10 +131,9 @@
     }
 
     /// Starts to hold a slice with the given execution history.
-    pub fn hold(&mut self, slice: SliceIndex, history: History) {
+    pub fn hold(&mut self, slice: SliceIndex, history: SliceHistory) {
         let released_epoch = self.released_epochs.get(&slice);
-        let is_awaiting_handover =
-            released_epoch.is_none_or(|epoch| *epoch < history.since_version);
+        let is_awaiting_handover = released_epoch.is_none_or(|epoch| *epoch < history.since_epoch);
         let held = HeldSlice {
             history,
             is_awaiting_handover,
@@ -141,7 +143,7 @@
 
     /// Execution history of a held slice.
     #[must_use]
-    pub fn history(&self, slice: SliceIndex) -> Option<History> {
+    pub fn history(&self, slice: SliceIndex) -> Option<SliceHistory> {
         self.held_slices.get(&slice).map(|held| held.history)
     }
 
@@ -156,7 +158,7 @@
     /// table succeeds.
     pub fn release(&mut self, slice: SliceIndex, time: GuardTime) -> Option<SliceExport> {
         let history = self.held_slices.remove(&slice)?.history;
-        self.released_epochs.insert(slice, history.since_version);
+        self.released_epochs.insert(slice, history.since_epoch);
         let all_keys = self.records.keys().copied();
         let keys: Vec<GuardKey> = all_keys.filter(|key| key.slice() == slice).collect();
         let mut records = Vec::with_capacity(keys.len());
@@ -194,7 +196,7 @@
             return false;
         };
         let is_for_this_process_and_move = handover.to_started_unix_ms == self.started_unix_ms
-            && held.history.since_version == handover.moved_by_version;
+            && held.history.since_epoch == handover.moved_by_epoch;
         if !is_for_this_process_and_move || !held.is_awaiting_handover {
             return false;
         }
@@ -217,22 +219,22 @@
         request: &KeyedRequest,
         time: GuardTime,
         freshness: Freshness,
-    ) -> Begin {
+    ) -> BeginDecision {
         let Some(history) = self.history(request.key.slice()) else {
-            return Begin::Refuse(no_home());
+            return BeginDecision::Refuse(no_home());
         };
         if let Some(record) = self.records.get(&request.key) {
             return decide_from_record(record, request.fingerprint);
         }
         if freshness == Freshness::CutOff {
-            return Begin::Refuse(no_home());
+            return BeginDecision::Refuse(no_home());
         }
         if let Some(refusal) = history_refusal(request, history, time) {
-            return Begin::Refuse(refusal);
+            return BeginDecision::Refuse(refusal);
         }
         if self.records.len() >= self.max_record_count {
             let refusal = Refusal::not_run(Reason::Overloaded);
-            return Begin::Refuse(refusal.with_retry_after_ms(HOME_RETRY_MS));
+            return BeginDecision::Refuse(refusal.with_retry_after_ms(HOME_RETRY_MS));
         }
         let keep_until_ms = time.now_ms + RETENTION_MS;
         self.insert(
@@ -241,22 +243,22 @@
             State::InProgress,
             keep_until_ms,
         );
-        Begin::Execute
+        BeginDecision::Execute
     }
 
     /// Records how an execution ended.
     ///
     /// Ignored if the key's slice has moved to another home since: the key was
     /// exported as unknown.
-    pub fn finish(&mut self, key: GuardKey, finish: Finish, time: GuardTime) {
+    pub fn finish(&mut self, key: GuardKey, finish: ExecutionResult, time: GuardTime) {
         let Some(record) = self.remove(key) else {
             return;
         };
         let keep_until_ms = time.now_ms + RETENTION_MS;
         let state = match finish {
-            Finish::NotRun => return,
-            Finish::Answered(response) => self.response_state(response),
-            Finish::Unknown => State::Unknown,
+            ExecutionResult::NotRun => return,
+            ExecutionResult::Responded(response) => self.response_state(response),
+            ExecutionResult::Unknown => State::Unknown,
         };
         self.insert(key, record.fingerprint, state, keep_until_ms);
     }
@@ -292,7 +294,7 @@
         self.stored_response_bytes
     }
 
-    fn response_state(&self, response: StoredAnswer) -> State {
+    fn response_state(&self, response: StoredResponse) -> State {
         if self.stored_response_bytes + response.byte_count() > MAX_STORED_RESPONSE_BYTES {
             State::Unknown
         } else {
@@ -304,7 +306,7 @@
         if self.records.contains_key(&record.key) {
             return;
         }
-        let state = match record.answer {
+        let state = match record.response {
             Some(response) => self.response_state(response),
             None => State::Unknown,
         };
@@ -343,23 +345,27 @@
     }
 }
 
-fn decide_from_record(record: &Record, fingerprint: u64) -> Begin {
+fn decide_from_record(record: &Record, fingerprint: u64) -> BeginDecision {
     if record.fingerprint != fingerprint {
-        return Begin::Refuse(Refusal::not_run(Reason::KeyReused).with_exhausted());
+        return BeginDecision::Refuse(Refusal::not_run(Reason::KeyReused).with_exhausted());
     }
     match &record.state {
-        State::Responded(response) => Begin::Replay(response.clone()),
-        State::Unknown => Begin::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
+        State::Responded(response) => BeginDecision::Replay(response.clone()),
+        State::Unknown => BeginDecision::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
         State::InProgress => {
             let refusal = Refusal::unknown(Reason::InProgress);
-            Begin::Refuse(refusal.with_retry_after_ms(IN_PROGRESS_RETRY_MS))
+            BeginDecision::Refuse(refusal.with_retry_after_ms(IN_PROGRESS_RETRY_MS))
         }
     }
 }
 
 /// Refuses a key that may have run at an earlier home, or here with a record
 /// that has expired since.
-fn history_refusal(request: &KeyedRequest, history: History, time: GuardTime) -> Option<Refusal> {
+fn history_refusal(
+    request: &KeyedRequest,
+    history: SliceHistory,
+    time: GuardTime,
+) -> Option<Refusal> {
     let unknown_history = Refusal::unknown(Reason::NoHome);
     let Some(created_unix_ms) = request.created_unix_ms else {
         let certain_from_unix_ms = history.known_since_unix_ms + RETENTION_MS;
@@ -393,7 +399,7 @@
     SliceRecord {
         key,
         fingerprint: record.fingerprint,
-        answer: response,
+        response,
         keep_for_ms: record.keep_until_ms.saturating_sub(now_ms),
     }
 }
--- a/src/ingress/serve.rs
+++ b/src/ingress/serve.rs
@@ -52,7 +52,7 @@
         header_timeout: Duration::from_millis(node.settings.caller_read_timeout_ms),
         stream_count: STREAM_COUNT,
     };
-    let (closing, stopped) = (node.closing.clone(), node.stopped.clone());
+    let (closing, stopped) = (node.callers_closing.clone(), node.stopped.clone());
     let open_count = Arc::clone(&node.caller_connection_count);
     let handler = CallerHandler(node);
     serve(listener, limits, closing, stopped, open_count, handler).await;
@@ -100,7 +100,7 @@
     mut head: Parts,
     mut body: Option<Incoming>,
 ) -> Response<AnswerBody> {
-    let _in_flight = node.begin();
+    let _in_flight = node.begin_request();
     let is_http1 = head.version <= Version::HTTP_11;
     let started_us = node.timer.now_us();
     let mut seen = Seen::default();
@@ -224,7 +224,7 @@
         Err(_) => true,
     };
     let now_us = node.timer.now_us();
-    node.downstream().note(has_failed, now_us);
+    node.downstream().record_call(has_failed, now_us);
 }
 
 /// Workspace and key that the request runs for, within the workspace's rate.
--- a/src/model/class.rs
+++ b/src/model/class.rs
@@ -47,7 +47,7 @@
     /// to one of a higher. Among equal workspaces the route decides, as far as there are enough
     /// classes to distinguish them.
     #[must_use]
-    pub const fn within(self, workspace: Option<Self>) -> Self {
+    pub const fn with_workspace_class(self, workspace: Option<Self>) -> Self {
         match (workspace, self) {
             (None, class) => class,
             (Some(Self::Critical), _) => Self::Critical,
--- a/src/model/region_set.rs
+++ b/src/model/region_set.rs
@@ -28,7 +28,7 @@
 
     /// Regions in both sets; may be empty.
     #[must_use]
-    pub const fn both(self, other: Self) -> Self {
+    pub const fn intersection(self, other: Self) -> Self {
         match (self.is_restricted, other.is_restricted) {
             (false, _) => other,
             (_, false) => self,
--- a/src/node/admission_table.rs
+++ b/src/node/admission_table.rs
@@ -83,9 +83,9 @@
     }
 
     /// Records a load report of the target.
-    pub fn report(&mut self, report: LoadReport) {
+    pub fn record_load_report(&mut self, report: LoadReport) {
         if let Some(policy) = &mut self.policy {
-            policy.report(report);
+            policy.record_load_report(report);
         }
     }
 
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -29,7 +29,7 @@
     /// Key of its retry allotment.
     pub retry: CallKey,
     /// Cancelled when the call ends.
-    pub over: CancellationToken,
+    pub ended: CancellationToken,
     /// A child call exhausted its retries; this call must not be retried upstream.
     pub is_exhausted: bool,
 }
@@ -125,7 +125,7 @@
                 is_exhausted: false,
             };
         };
-        call.over.cancel();
+        call.ended.cancel();
         CallRemainder {
             unspent: self.node.retries().close(call.retry),
             is_exhausted: call.is_exhausted,
--- a/src/node/guarded.rs
+++ b/src/node/guarded.rs
@@ -7,7 +7,7 @@
         event,
         events::Event,
         exchange::{Answer, AnswerBody, Outbound},
-        guard::{Begin, Finish, GuardKey, KeyedRequest, StoredAnswer},
+        guard::{BeginDecision, ExecutionResult, GuardKey, KeyedRequest, StoredResponse},
         ingress::check_idempotency_key,
         model::{Names, Outcome, Reason, Refusal, RequestContext, ServiceKey, WorkspaceKey},
         peer::{Attempt, HopResult},
@@ -29,7 +29,7 @@
 #[derive(Eq)]
 pub enum Home {
     /// This node.
-    Own,
+    Local,
     /// The node with this name.
     Node(String),
 }
@@ -40,10 +40,10 @@
     fn home(&self, key: GuardKey) -> Result<Home, Refusal>;
 
     /// Decides about a request at its home; refuses if this node is not the home.
-    fn begin(&self, call: KeyedRequest) -> Begin;
+    fn begin(&self, call: KeyedRequest) -> BeginDecision;
 
     /// Records the end of an execution that `begin` allowed.
-    fn finish(&self, key: GuardKey, finish: Finish);
+    fn finish(&self, key: GuardKey, finish: ExecutionResult);
 }
 
 /// Dispatches a call: unrepeatable calls with an idempotency key go through the home
@@ -68,7 +68,7 @@
     let child_allotment = node.retries().allot_to_child(call.retry);
     let context = context_of(call, remaining_us, child_allotment.allotment);
     let hop = match home {
-        Home::Own => {
+        Home::Local => {
             let (result, unspent) = execute_once(node, &context, outbound.clone(), key_text).await;
             HopResult {
                 result,
@@ -143,15 +143,15 @@
     let keyed = keyed_request(&node.names, scope, key_text, &outbound);
     let key = keyed.key;
     match node.guard.begin(keyed) {
-        Begin::Replay(answer) => return (Ok(to_answer(answer)), context.retry_allotment),
-        Begin::Refuse(refusal) => {
+        BeginDecision::Replay(answer) => return (Ok(to_answer(answer)), context.retry_allotment),
+        BeginDecision::Refuse(refusal) => {
             let (id, reason) = (context.request_id, refusal.reason);
             if reason == Reason::NoHome {
                 event!(Event::GuardUnsure, "request={id} reason={reason}");
             }
             return (Err(refusal), context.retry_allotment);
         }
-        Begin::Execute => {}
+        BeginDecision::Execute => {}
     }
     let task = tokio::spawn(run_execution(Arc::clone(node), *context, outbound, key));
     let connection_lost = (Err(Refusal::unknown(Reason::ConnectionLost)), 0);
@@ -164,7 +164,7 @@
     outbound: Outbound,
     key: GuardKey,
 ) -> (Result<Answer, Refusal>, u8) {
-    let _in_flight = node.begin();
+    let _in_flight = node.begin_request();
     let retry = node.retries().open(context.retry_allotment);
     let call = Call {
         request_id: context.request_id,
@@ -184,16 +184,18 @@
     (result, unspent)
 }
 
-fn to_finish(result: &Result<Answer, Refusal>) -> Finish {
+fn to_finish(result: &Result<Answer, Refusal>) -> ExecutionResult {
     match result {
-        Ok(answer) => to_stored_answer(answer).map_or(Finish::Unknown, Finish::Answered),
-        Err(refusal) if refusal.outcome == Outcome::NotRun => Finish::NotRun,
-        Err(_) => Finish::Unknown,
+        Ok(answer) => {
+            to_stored_answer(answer).map_or(ExecutionResult::Unknown, ExecutionResult::Responded)
+        }
+        Err(refusal) if refusal.outcome == Outcome::NotRun => ExecutionResult::NotRun,
+        Err(_) => ExecutionResult::Unknown,
     }
 }
 
 /// Converts a response for replay to resends, if it is fully buffered.
-fn to_stored_answer(answer: &Answer) -> Option<StoredAnswer> {
+fn to_stored_answer(answer: &Answer) -> Option<StoredResponse> {
     let AnswerBody::Whole(Some(body)) = &answer.body else {
         return None;
     };
@@ -201,14 +203,14 @@
         .headers
         .iter()
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())));
-    Some(StoredAnswer {
+    Some(StoredResponse {
         status: answer.status.as_u16(),
         headers: headers.collect(),
         body: body.clone(),
     })
 }
 
-fn to_answer(stored: StoredAnswer) -> Answer {
+fn to_answer(stored: StoredResponse) -> Answer {
     let mut headers = HeaderMap::new();
     for (name, value) in &stored.headers {
         let name = HeaderName::try_from(name.as_str());
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -22,7 +22,7 @@
 
 use {
     crate::{
-        admission::{AdmissionPolicy, Downstream},
+        admission::{AdmissionPolicy, DownstreamAdmission},
         conf::{Evacuations, Running},
         control::Metrics,
         dialect::{Dialect, Native},
@@ -34,7 +34,7 @@
         model::{AdmissionLevel, Class, Names, RegionKey, RegionSet, WorkspaceKey},
         peer::{FleetAuth, SeenAttempts},
         quota::QuotaGate,
-        retry::{RetryPolicy, ShareLimits},
+        retry::{RetryPolicy, RetryShareLimits},
         routing::RoutePolicy,
         settings::Settings,
         target::{Registration, TargetPool},
@@ -151,7 +151,7 @@
     /// Authenticates messages between nodes with the fleet secret.
     pub auth: FleetAuth,
     /// Ids of attempts received from other nodes.
-    pub arrivals: SeenAttempts,
+    pub seen_attempts: SeenAttempts,
     /// Connections to the local target.
     pub target: Arc<TargetPool>,
     /// Number of open caller connections.
@@ -159,7 +159,7 @@
     /// Number of open connections from other nodes.
     pub peer_connection_count: Arc<AtomicUsize>,
     /// Closes the caller connections.
-    pub closing: CancellationToken,
+    pub callers_closing: CancellationToken,
     /// Closes the connections from other nodes.
     pub peers_closing: CancellationToken,
     /// Stops all tasks of the node.
@@ -173,7 +173,7 @@
     retries: Mutex<P::Retry>,
     calls: Mutex<CallTable>,
     registration: Mutex<Registration>,
-    downstream: Mutex<Downstream>,
+    downstream: Mutex<DownstreamAdmission>,
     loop_lag: Mutex<LoopLag>,
     in_flight_count: AtomicUsize,
     /// Notifies [`run_ticks`] when the first request arrives at an idle node.
@@ -187,13 +187,13 @@
     #[must_use]
     pub fn new(inputs: NodeInputs<P::Quota, P::Guard, P::Dialect>) -> Arc<Self> {
         let auth = FleetAuth::new(&inputs.settings.fleet_secret);
-        let retries = P::Retry::new().with_share_limits(ShareLimits {
+        let retries = P::Retry::new().with_retry_share_limits(RetryShareLimits {
             percent: inputs.settings.retry_percent,
             floor_count: inputs.settings.retry_floor,
         });
         Arc::new(Self {
             auth,
-            arrivals: SeenAttempts::new(),
+            seen_attempts: SeenAttempts::new(),
             target: TargetPool::new(inputs.settings.ip),
             region: inputs.names.region(&inputs.settings.region),
             settings: inputs.settings,
@@ -207,7 +207,7 @@
             metrics: Metrics::new(),
             caller_connection_count: Arc::default(),
             peer_connection_count: Arc::default(),
-            closing: CancellationToken::new(),
+            callers_closing: CancellationToken::new(),
             peers_closing: CancellationToken::new(),
             stopped: CancellationToken::new(),
             running: inputs.running,
@@ -219,7 +219,7 @@
             retries: Mutex::new(retries),
             calls: Mutex::new(CallTable::new()),
             registration: Mutex::new(Registration::new()),
-            downstream: Mutex::new(Downstream::new()),
+            downstream: Mutex::new(DownstreamAdmission::new()),
             loop_lag: Mutex::new(LoopLag::new()),
             in_flight_count: AtomicUsize::new(0),
             first_request_arrived: Notify::new(),
@@ -285,7 +285,7 @@
     }
 
     /// Waits until a drain starts.
-    pub async fn drain_begins(&self) {
+    pub async fn wait_until_draining(&self) {
         self.drain.cancelled().await;
     }
 
@@ -310,7 +310,7 @@
 
     /// Counts a request as in flight until the guard is dropped.
     #[must_use]
-    pub fn begin(self: &Arc<Self>) -> InFlightGuard<P> {
+    pub fn begin_request(self: &Arc<Self>) -> InFlightGuard<P> {
         if self.in_flight_count.fetch_add(1, Ordering::AcqRel) == 0 {
             self.first_request_arrived.notify_one();
         }
@@ -355,7 +355,7 @@
     }
 
     /// Load and failures of the local target's downstream calls.
-    pub fn downstream(&self) -> MutexGuard<'_, Downstream> {
+    pub fn downstream(&self) -> MutexGuard<'_, DownstreamAdmission> {
         lock(&self.downstream)
     }
 
--- a/src/node/route_table.rs
+++ b/src/node/route_table.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub enum TargetLocation {
     /// The local target of this node.
-    Own,
+    Local,
     /// Through another node.
     Peer(Arc<PeerLink>),
 }
@@ -123,7 +123,7 @@
 
     /// Name of the target's node.
     #[must_use]
-    pub fn node_of(&self, target: TargetKey) -> &str {
+    pub fn node_name(&self, target: TargetKey) -> &str {
         self.node_names.get(&target).map_or("", String::as_str)
     }
 
@@ -143,16 +143,16 @@
         let silence = self.policy.check_silence(now_us);
         let mut to_probe = Vec::new();
         for target in silence.to_probe {
-            let node = self.node_of(target).to_owned();
+            let node = self.node_name(target).to_owned();
             match self.rows.get(&node).map(|row| &row.location) {
                 Some(TargetLocation::Peer(_)) => to_probe.push(node),
-                Some(TargetLocation::Own) | None => {
+                Some(TargetLocation::Local) | None => {
                     self.policy.record_response(target, now_us);
                 }
             }
         }
         for target in silence.newly_silent {
-            let node = self.node_of(target).to_owned();
+            let node = self.node_name(target).to_owned();
             event!(Event::NodeSilent, "node={node}");
             if let Some(TargetLocation::Peer(link)) = self.rows.get(&node).map(|row| &row.location)
             {
@@ -165,7 +165,7 @@
     /// Updates ejected targets; called on every tick.
     pub fn tick(&mut self, now_us: u64) {
         for (target, is_ejected) in self.policy.tick(now_us) {
-            let node = self.node_of(target);
+            let node = self.node_name(target);
             if is_ejected {
                 event!(Event::TargetEjected, "node={node}");
             } else {
@@ -267,7 +267,7 @@
         }
         let location = match self.links.get(node) {
             Some((_, link)) => TargetLocation::Peer(Arc::clone(link)),
-            None => TargetLocation::Own,
+            None => TargetLocation::Local,
         };
         let target = self.policy.add(info, now_us);
         self.node_names.insert(target, node.to_owned());
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -55,7 +55,7 @@
         Err(PeerHeaderError::TooOld { attempt_id }) => return tell_clock(&node, attempt_id),
         Err(_) => return refuse_stranger(request.method()),
     };
-    let _in_flight = node.begin();
+    let _in_flight = node.begin_request();
     let method = request.method().clone();
     let (result, unspent) = match read(&node, request).await {
         Ok(outbound) if !carries(&outbound, received.content) => return refuse_stranger(&method),
@@ -99,7 +99,9 @@
         return Err(PeerHeaderError::NotAuthentic);
     }
     let received = decode_context(context, &node.names, node.timer.steady_unix_ms())?;
-    let is_first = node.arrivals.note(received.attempt_id, node.timer.now_ms());
+    let is_first = node
+        .seen_attempts
+        .note(received.attempt_id, node.timer.now_ms());
     match is_first {
         true => Ok(received),
         false => Err(PeerHeaderError::NotAuthentic),
--- a/src/quota/borrowed_tokens.rs
+++ b/src/quota/borrowed_tokens.rs
@@ -131,8 +131,8 @@
         BorrowRequest {
             workspace: self.workspace,
             borrower: self.borrower.clone(),
-            bank_id: self.pool_id,
-            last_loan: self.last_batch_number,
+            pool_id: self.pool_id,
+            last_batch_number: self.last_batch_number,
             held_count,
             // Sent only once: tokens returned twice would be spent twice.
             returned_count,
@@ -143,19 +143,19 @@
 
     /// Applies the response to the request that was sent at `sent_us`.
     pub fn apply_response(&mut self, sent_us: u64, response: BorrowResponse, now_us: u64) {
-        if response.bank_id != self.pool_id {
-            self.change_pool(response.bank_id, now_us);
+        if response.pool_id != self.pool_id {
+            self.change_pool(response.pool_id, now_us);
         }
         self.back_off(response.empty_for_ms, now_us);
         // A late or duplicate response: this node has already reported the
         // batch as spent, and the pool may have lent its tokens to others.
-        if response.granted_count == 0 || response.loan <= self.last_batch_number {
+        if response.granted_count == 0 || response.batch_number <= self.last_batch_number {
             return;
         }
-        self.last_batch_number = response.loan;
+        self.last_batch_number = response.batch_number;
         let ends_us = sent_us + ms_to_us(response.ttl_ms.min(BATCH_TTL_MS));
         self.batches.push_back(TokenBatch {
-            pool_id: response.bank_id,
+            pool_id: response.pool_id,
             token_count: response.granted_count,
             ends_us,
         });
--- a/src/quota/gate.rs
+++ b/src/quota/gate.rs
@@ -4,7 +4,7 @@
 use {
     super::{
         BorrowRequest, BorrowResponse, BorrowedTokens, Process, QuotaGate, QuotaOwner, Rate,
-        TokenPool, placement::banks,
+        TokenPool, placement::pool_nodes,
     },
     crate::{
         freshness::Snapshot,
@@ -104,7 +104,7 @@
 
     /// Records that this process created the slice table in force, the first of
     /// the fleet.
-    pub fn created_fleet(&self) {
+    pub fn set_fleet_creator(&self) {
         self.lock().owner.skip_quarantine();
     }
 
@@ -214,7 +214,7 @@
         let inputs = &self.inner.inputs;
         let name = inputs.names.workspace_name(request.workspace);
         let view = inputs.view.borrow().clone();
-        for pool_node in banks(&view, &name, &inputs.own.zone) {
+        for pool_node in pool_nodes(&view, &name, &inputs.own.zone) {
             if pool_node.node_id == inputs.own.node_id {
                 return Some(self.borrow(request.clone()).await);
             }
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -65,17 +65,17 @@
     /// Applies the borrower's report; returns the number of tokens that came
     /// back.
     pub fn settle(&mut self, request: &BorrowRequest) -> u32 {
-        if request.last_loan < self.settled_batch_number {
+        if request.last_batch_number < self.settled_batch_number {
             return 0;
         }
         for batch in self
             .open_batches
-            .extract_if(.., |batch| batch.batch_number <= request.last_loan)
+            .extract_if(.., |batch| batch.batch_number <= request.last_batch_number)
         {
             self.settled_count += batch.token_count;
             self.settled_expires_us = self.settled_expires_us.max(batch.expires_us);
         }
-        self.settled_batch_number = request.last_loan;
+        self.settled_batch_number = request.last_batch_number;
         let freed_count = self.settled_count.saturating_sub(request.held_count);
         self.settled_count -= freed_count;
         freed_count.min(request.returned_count)
--- a/src/quota/messages.rs
+++ b/src/quota/messages.rs
@@ -19,7 +19,7 @@
     /// Node that holds the pool.
     pub node_id: String,
     /// Random id, drawn anew on a restart and when the pool hands over.
-    pub bank_id: u64,
+    pub pool_id: u64,
 }
 
 /// Request of a pool to an owner for its share of a workspace.
@@ -29,7 +29,7 @@
     /// The workspace.
     pub workspace: WorkspaceKey,
     /// The requesting pool.
-    pub bank: PoolRef,
+    pub pool: PoolRef,
     /// Pool that handed its lease over to the requesting one; 0 if none did.
     pub predecessor_id: u64,
 }
@@ -89,9 +89,9 @@
     /// The requesting process.
     pub borrower: Process,
     /// Pool that the next three fields refer to.
-    pub bank_id: u64,
+    pub pool_id: u64,
     /// Latest batch of this process that reached the borrower.
-    pub last_loan: u64,
+    pub last_batch_number: u64,
     /// Unspent tokens of batches up to `last_loan`.
     pub held_count: u32,
     /// Tokens of these batches that this message returns unspent.
@@ -108,9 +108,9 @@
 #[derive(Default)]
 pub struct BorrowResponse {
     /// Id of the responding pool.
-    pub bank_id: u64,
+    pub pool_id: u64,
     /// Number of the batch; increases with each batch.
-    pub loan: u64,
+    pub batch_number: u64,
     /// Tokens lent.
     pub granted_count: u32,
     /// Lifetime in milliseconds, counted by the borrower from when it sent the
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -32,7 +32,7 @@
     },
     outstanding::OutstandingReports,
     owner::QuotaOwner,
-    placement::banks,
+    placement::pool_nodes,
     refill::RefillBucket,
     sharing::{SharingInputs, spawn_sharing},
     token_holdings::{TokenDecision, TokenHoldings},
--- a/src/quota/owner.rs
+++ b/src/quota/owner.rs
@@ -30,8 +30,8 @@
 
 impl Lease {
     fn is_for(&self, request: &LeaseRequest) -> bool {
-        let holder_id = self.pool.bank_id;
-        holder_id == request.bank.bank_id || holder_id == request.predecessor_id
+        let holder_id = self.pool.pool_id;
+        holder_id == request.pool.pool_id || holder_id == request.predecessor_id
     }
 }
 
@@ -178,7 +178,7 @@
         let ends_us = now_us + QUARANTINE_US;
         share.bucket.updated_us = ends_us;
         share.lease = Some(Lease {
-            pool: request.bank.clone(),
+            pool: request.pool.clone(),
             ends_us,
         });
         LeaseResponse {
--- a/src/quota/placement.rs
+++ b/src/quota/placement.rs
@@ -9,7 +9,7 @@
 /// the one in this node's zone if it is another. Nodes with the same view make
 /// the same choice.
 #[must_use]
-pub fn banks<'a>(view: &'a View, workspace: &str, own_zone: &str) -> Vec<&'a Member> {
+pub fn pool_nodes<'a>(view: &'a View, workspace: &str, own_zone: &str) -> Vec<&'a Member> {
     let weight = |member: &&Member| {
         let hashed_text = format!("{workspace} {}", member.node_id);
         xxh3_64(hashed_text.as_bytes())
--- a/src/quota/pool_service.rs
+++ b/src/quota/pool_service.rs
@@ -4,8 +4,9 @@
 use {
     super::{
         BorrowRequest, BorrowResponse, LeaseQuery, LeaseRequest, LeaseResponse, PoolHandover,
-        PoolRef, Rate, TokenPool, banks,
+        PoolRef, Rate, TokenPool,
         gate::{LeasedQuota, State, rate_of},
+        pool_nodes,
     },
     crate::model::WorkspaceKey,
     std::{net::SocketAddr, time::Duration},
@@ -48,8 +49,8 @@
         let inputs = &self.inner.inputs;
         let name = inputs.names.workspace_name(request.workspace);
         let view = inputs.view.borrow();
-        let mut pool_nodes = banks(&view, &name, &inputs.own.zone).into_iter();
-        pool_nodes.any(|node| node.node_id == request.bank.node_id)
+        let mut pool_nodes = pool_nodes(&view, &name, &inputs.own.zone).into_iter();
+        pool_nodes.any(|node| node.node_id == request.pool.node_id)
     }
 
     /// Lends tokens from this node's pool of a workspace.
@@ -98,10 +99,7 @@
         let pool_id = self.with_pool(workspace, |pool, _| pool.pool_id());
         let request = LeaseRequest {
             workspace,
-            bank: PoolRef {
-                node_id,
-                bank_id: pool_id,
-            },
+            pool: PoolRef { node_id, pool_id },
             predecessor_id: query.predecessor_id,
         };
         let response = match self.address(&query.owner) {
@@ -148,7 +146,9 @@
         let inputs = &self.inner.inputs;
         let name = inputs.names.workspace_name(workspace);
         let view = inputs.view.borrow().clone();
-        let pool_node = banks(&view, &name, &inputs.own.zone).into_iter().next();
+        let pool_node = pool_nodes(&view, &name, &inputs.own.zone)
+            .into_iter()
+            .next();
         if pool_node.is_none_or(|node| node.node_id == inputs.own.node_id) {
             return None;
         }
--- a/src/quota/token_pool.rs
+++ b/src/quota/token_pool.rs
@@ -284,18 +284,18 @@
             .saturating_add(request.extra_count / LOW_BUCKET_DIVISOR);
         let is_short = granted_count < wanted_count;
         let mut response = BorrowResponse {
-            bank_id: self.pool_id,
-            loan: 0,
+            pool_id: self.pool_id,
+            batch_number: 0,
             granted_count,
             ttl_ms: BATCH_TTL_MS,
             empty_for_ms: 0,
         };
         if granted_count > 0 {
-            response.loan = self.next_batch_number;
+            response.batch_number = self.next_batch_number;
             self.next_batch_number += 1;
             let expires_us = now_us + ms_to_us(BATCH_TTL_MS + CLOCK_MARGIN_MS);
             let ledger = self.ledgers.entry(request.borrower.clone()).or_default();
-            ledger.record_batch(response.loan, granted_count, expires_us);
+            ledger.record_batch(response.batch_number, granted_count, expires_us);
         }
         if is_short {
             response.empty_for_ms = self.empty_for_ms(rate, now_us);
@@ -341,7 +341,7 @@
     }
 
     fn settle(&mut self, request: &BorrowRequest, rate: Rate, now_us: u64) {
-        if request.bank_id != self.pool_id {
+        if request.pool_id != self.pool_id {
             return;
         }
         let Some(ledger) = self.ledgers.get_mut(&request.borrower) else {
--- a/src/retry/chain_budget.rs
+++ b/src/retry/chain_budget.rs
@@ -2,7 +2,8 @@
 
 use {
     super::{
-        CallKey, ChildAllotment, ChildAllotmentKey, RetryPolicy, ShareLimits, share::RetryShare,
+        CallKey, ChildAllotment, ChildAllotmentKey, RetryPolicy, RetryShareLimits,
+        share::RetryShare,
     },
     crate::{arena::Arena, model::ServiceKey},
 };
@@ -39,7 +40,7 @@
     calls: Arena<CallKey, Call>,
     child_allotments: Arena<ChildAllotmentKey, OpenChildAllotment>,
     shares: Vec<RetryShare>,
-    limits: ShareLimits,
+    limits: RetryShareLimits,
 }
 
 impl RetryPolicy for ChainBudget {
@@ -48,11 +49,11 @@
             calls: Arena::new(),
             child_allotments: Arena::new(),
             shares: Vec::new(),
-            limits: ShareLimits::default(),
+            limits: RetryShareLimits::default(),
         }
     }
 
-    fn with_share_limits(mut self, limits: ShareLimits) -> Self {
+    fn with_retry_share_limits(mut self, limits: RetryShareLimits) -> Self {
         self.limits = limits;
         self
     }
@@ -85,7 +86,7 @@
         }
     }
 
-    fn first_attempt(&mut self, service: ServiceKey, now_us: u64) {
+    fn record_first_attempt(&mut self, service: ServiceKey, now_us: u64) {
         self.share(service).record_first_attempt(now_us);
     }
 
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -11,7 +11,7 @@
 pub use {
     chain_budget::ChainBudget,
     naive::{NAIVE_RETRY_COUNT, NaiveRetry},
-    share::{RETRY_FLOOR_COUNT, RETRY_SHARE_PERCENT, SHARE_WINDOW_US, ShareLimits},
+    share::{RETRY_FLOOR_COUNT, RETRY_SHARE_PERCENT, RetryShareLimits, SHARE_WINDOW_US},
 };
 
 use crate::{arena_key, model::ServiceKey};
@@ -47,7 +47,7 @@
 
     /// Sets the limits that apply to each called service.
     #[must_use]
-    fn with_share_limits(self, limits: ShareLimits) -> Self;
+    fn with_retry_share_limits(self, limits: RetryShareLimits) -> Self;
 
     /// Adds a call with the allotment that it received.
     fn open(&mut self, allotment: u8) -> CallKey;
@@ -61,7 +61,7 @@
     fn return_unspent(&mut self, key: ChildAllotmentKey, unspent: u8);
 
     /// Counts a first attempt at a service.
-    fn first_attempt(&mut self, service: ServiceKey, now_us: u64);
+    fn record_first_attempt(&mut self, service: ServiceKey, now_us: u64);
 
     /// Requests one more attempt at a service; returns whether it is allowed and
     /// spends allotment if so.
--- a/src/retry/naive.rs
+++ b/src/retry/naive.rs
@@ -1,7 +1,7 @@
 //! Baseline for comparisons: the same number of retries at every hop.
 
 use {
-    super::{CallKey, ChildAllotment, ChildAllotmentKey, RetryPolicy, ShareLimits},
+    super::{CallKey, ChildAllotment, ChildAllotmentKey, RetryPolicy, RetryShareLimits},
     crate::{arena::Arena, model::ServiceKey},
 };
 
@@ -25,7 +25,7 @@
         }
     }
 
-    fn with_share_limits(self, _limits: ShareLimits) -> Self {
+    fn with_retry_share_limits(self, _limits: RetryShareLimits) -> Self {
         self
     }
 
@@ -44,7 +44,7 @@
         self.child_allotments.remove(key);
     }
 
-    fn first_attempt(&mut self, _service: ServiceKey, _now_us: u64) {}
+    fn record_first_attempt(&mut self, _service: ServiceKey, _now_us: u64) {}
 
     fn try_retry(&mut self, call: CallKey, _service: ServiceKey, _now_us: u64) -> bool {
         match self.calls.get_mut(call) {
--- a/src/retry/share.rs
+++ b/src/retry/share.rs
@@ -20,14 +20,14 @@
 
 /// Limits of a node's retries at one service in a window.
 #[derives::key]
-pub struct ShareLimits {
+pub struct RetryShareLimits {
     /// Retries per hundred first attempts.
     pub percent: u32,
     /// Retries that are allowed in addition to the share.
     pub floor_count: u32,
 }
 
-impl Default for ShareLimits {
+impl Default for RetryShareLimits {
     fn default() -> Self {
         Self {
             percent: RETRY_SHARE_PERCENT,
@@ -39,14 +39,14 @@
 /// First attempts and retries at one service in a sliding window.
 #[derive(Debug, Default)]
 pub struct RetryShare {
-    limits: ShareLimits,
+    limits: RetryShareLimits,
     buckets: [Bucket; BUCKET_COUNT],
 }
 
 impl RetryShare {
     /// A window without attempts.
     #[must_use]
-    pub fn new(limits: ShareLimits) -> Self {
+    pub fn new(limits: RetryShareLimits) -> Self {
         Self {
             limits,
             ..Self::default()
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -74,7 +74,7 @@
 #[derives::key]
 pub enum AttemptResult {
     /// A complete response was received.
-    Answered,
+    Completed,
     /// The target's node refused it.
     Refused,
     /// Connection loss, timeout or invalid response.
@@ -121,7 +121,7 @@
 
     /// Records the end of an attempt; `level` is the admission level in the
     /// response, if there was one.
-    fn end(
+    fn end_attempt(
         &mut self,
         target: TargetKey,
         result: AttemptResult,
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -96,7 +96,7 @@
             self.silence.record_response(now_us);
         }
         match result {
-            AttemptResult::Answered => {
+            AttemptResult::Completed => {
                 self.failure_count = 0;
                 self.latency.add_sample(latency_us, now_us);
             }
--- a/src/routing/zone_router.rs
+++ b/src/routing/zone_router.rs
@@ -124,7 +124,7 @@
         Ok(key)
     }
 
-    fn end(
+    fn end_attempt(
         &mut self,
         target: TargetKey,
         result: AttemptResult,
--- a/src/rpc/codec.rs
+++ b/src/rpc/codec.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        guard::{GuardKey, Handover, History, SliceExport, SliceRecord, StoredAnswer},
+        guard::{GuardKey, Handover, SliceExport, SliceHistory, SliceRecord, StoredResponse},
         model::{Names, WorkspaceKey},
         quota::{
             BorrowRequest, BorrowResponse, HandedOverLease, LeaseRequest, LeaseResponse,
@@ -39,13 +39,13 @@
 fn read_bank(reader: wire::bank::Reader<'_>) -> Result<PoolRef, Error> {
     Ok(PoolRef {
         node_id: text(reader.get_node_id()?)?,
-        bank_id: reader.get_bank_id(),
+        pool_id: reader.get_bank_id(),
     })
 }
 
 fn write_bank(bank: &PoolRef, mut builder: wire::bank::Builder<'_>) {
     builder.set_node_id(&bank.node_id);
-    builder.set_bank_id(bank.bank_id);
+    builder.set_bank_id(bank.pool_id);
 }
 
 pub fn read_lease_ask(
@@ -54,7 +54,7 @@
 ) -> Result<LeaseRequest, Error> {
     Ok(LeaseRequest {
         workspace: workspace(names, reader.get_workspace()?)?,
-        bank: read_bank(reader.get_bank()?)?,
+        pool: read_bank(reader.get_bank()?)?,
         predecessor_id: reader.get_predecessor_id(),
     })
 }
@@ -66,7 +66,7 @@
 ) {
     builder.set_workspace(names.workspace_name(ask.workspace));
     builder.set_predecessor_id(ask.predecessor_id);
-    write_bank(&ask.bank, builder.init_bank());
+    write_bank(&ask.pool, builder.init_bank());
 }
 
 pub fn read_lease_answer(reader: wire::lease_answer::Reader<'_>) -> Result<LeaseResponse, Error> {
@@ -123,8 +123,8 @@
     Ok(BorrowRequest {
         workspace: workspace(names, reader.get_workspace()?)?,
         borrower: read_process(reader.get_borrower()?)?,
-        bank_id: reader.get_bank_id(),
-        last_loan: reader.get_last_loan(),
+        pool_id: reader.get_bank_id(),
+        last_batch_number: reader.get_last_loan(),
         held_count: reader.get_held_count(),
         returned_count: reader.get_returned_count(),
         need_count: reader.get_need_count(),
@@ -138,8 +138,8 @@
     mut builder: wire::borrow_ask::Builder<'_>,
 ) {
     builder.set_workspace(names.workspace_name(ask.workspace));
-    builder.set_bank_id(ask.bank_id);
-    builder.set_last_loan(ask.last_loan);
+    builder.set_bank_id(ask.pool_id);
+    builder.set_last_loan(ask.last_batch_number);
     builder.set_held_count(ask.held_count);
     builder.set_returned_count(ask.returned_count);
     builder.set_need_count(ask.need_count);
@@ -149,8 +149,8 @@
 
 pub fn read_borrow_answer(reader: wire::borrow_answer::Reader<'_>) -> BorrowResponse {
     BorrowResponse {
-        bank_id: reader.get_bank_id(),
-        loan: reader.get_loan(),
+        pool_id: reader.get_bank_id(),
+        batch_number: reader.get_loan(),
         granted_count: reader.get_granted_count(),
         ttl_ms: reader.get_ttl_ms(),
         empty_for_ms: reader.get_empty_for_ms(),
@@ -158,8 +158,8 @@
 }
 
 pub fn write_borrow_answer(answer: BorrowResponse, mut builder: wire::borrow_answer::Builder<'_>) {
-    builder.set_bank_id(answer.bank_id);
-    builder.set_loan(answer.loan);
+    builder.set_bank_id(answer.pool_id);
+    builder.set_loan(answer.batch_number);
     builder.set_granted_count(answer.granted_count);
     builder.set_ttl_ms(answer.ttl_ms);
     builder.set_empty_for_ms(answer.empty_for_ms);
@@ -173,8 +173,8 @@
     let records = reader.get_records()?.iter();
     let export = SliceExport {
         slice: SliceIndex::new(slice),
-        history: History {
-            since_version: reader.get_since_version(),
+        history: SliceHistory {
+            since_epoch: reader.get_since_version(),
             known_since_unix_ms: reader.get_known_since_unix_ms(),
         },
         records: records
@@ -183,7 +183,7 @@
     };
     Ok(Handover {
         export,
-        moved_by_version: reader.get_moved_by_version(),
+        moved_by_epoch: reader.get_moved_by_version(),
         to_started_unix_ms: reader.get_to_started_unix_ms(),
     })
 }
@@ -193,7 +193,7 @@
         .map_err(|_| Error::failed("a key hash has 16 bytes".to_owned()))?;
     let answer = match reader.get_status() {
         0 => None,
-        status => Some(StoredAnswer {
+        status => Some(StoredResponse {
             status,
             headers: read_headers(reader)?,
             body: bytes::Bytes::copy_from_slice(reader.get_body()?),
@@ -205,7 +205,7 @@
             key_hash: u128::from_be_bytes(key_hash),
         },
         fingerprint: reader.get_fingerprint(),
-        answer,
+        response: answer,
         keep_for_ms: reader.get_keep_for_ms(),
     })
 }
@@ -225,9 +225,9 @@
     let export = &handover.export;
     let index = u16::try_from(export.slice.index()).expect("slices fit into 16 bits");
     builder.set_slice(index);
-    builder.set_since_version(export.history.since_version);
+    builder.set_since_version(export.history.since_epoch);
     builder.set_known_since_unix_ms(export.history.known_since_unix_ms);
-    builder.set_moved_by_version(handover.moved_by_version);
+    builder.set_moved_by_version(handover.moved_by_epoch);
     builder.set_to_started_unix_ms(handover.to_started_unix_ms);
     let mut records = builder.init_records(list_length(&export.records));
     for (index, record) in (0..).zip(&export.records) {
@@ -240,7 +240,7 @@
     builder.set_key_hash(&record.key.key_hash.to_be_bytes());
     builder.set_fingerprint(record.fingerprint);
     builder.set_keep_for_ms(record.keep_for_ms);
-    let Some(answer) = &record.answer else {
+    let Some(answer) = &record.response else {
         return;
     };
     builder.set_status(answer.status);
--- a/src/shutdown/mod.rs
+++ b/src/shutdown/mod.rs
@@ -26,14 +26,14 @@
 pub async fn run<P: Policies>(node: Arc<Node<P>>) {
     tokio::select! {
         () = node.stopped.cancelled() => return,
-        () = node.drain_begins() => {}
+        () = node.wait_until_draining() => {}
     }
     let started_ms = node.timer.now_ms();
     let now_us = node.timer.now_us();
     node.admission().drain(now_us);
     let accept = Duration::from_millis(node.settings.drain_accept_ms);
     tokio::time::sleep(accept.max(Duration::from_micros(DRAIN_ANNOUNCE_US))).await;
-    node.closing.cancel();
+    node.callers_closing.cancel();
     let limit = Duration::from_millis(node.settings.drain_limit_ms);
     let left = |limit: Duration| {
         let passed = Duration::from_millis(node.timer.now_ms() - started_ms);
--- a/src/slices/codec.rs
+++ b/src/slices/codec.rs
@@ -104,7 +104,7 @@
         node_id: reader.get_node_id()?.to_str()?.to_owned(),
         zone: reader.get_zone()?.to_str()?.to_owned(),
         ip: ip.parse().map_err(invalid_address)?,
-        mark_epoch: (mark_epoch > 0).then_some(mark_epoch),
+        suspected_epoch: (mark_epoch > 0).then_some(mark_epoch),
     })
 }
 
@@ -112,7 +112,7 @@
     builder.set_node_id(&slot.node_id);
     builder.set_zone(&slot.zone);
     builder.set_ip(slot.ip.to_string());
-    builder.set_mark_epoch(slot.mark_epoch.unwrap_or(0));
+    builder.set_mark_epoch(slot.suspected_epoch.unwrap_or(0));
 }
 
 fn read_runs(
--- a/src/slices/mod.rs
+++ b/src/slices/mod.rs
@@ -14,11 +14,12 @@
 pub use {
     codec::SliceTableError,
     plan::{
-        MISSING_WAIT_MS, Observed, Planner, SELF_CLAIM_WAIT_MS, SUSPECT_PERIOD_MS, TAKEOVER_WAIT_MS,
+        MISSING_WAIT_MS, Planner, PlannerInput, SELF_CLAIM_WAIT_MS, SUSPECT_PERIOD_MS,
+        TAKEOVER_WAIT_MS,
     },
     share::{KEY_OWNERS_PER_ZONE, QUOTA_OWNERS_PER_ZONE},
     steps::{SliceTransfer, Step},
-    table::{HeldTable, Owner, Section, SliceTable, Slot, SlotIndex},
+    table::{Owner, Section, SliceTable, Slot, SlotIndex, VersionedSliceTable},
     task::{SliceInputs, spawn},
 };
 
--- a/src/slices/plan.rs
+++ b/src/slices/plan.rs
@@ -46,7 +46,7 @@
 
 /// Input of one planning run.
 #[derive(Clone, Copy)]
-pub struct Observed<'a> {
+pub struct PlannerInput<'a> {
     /// Slice table in force.
     pub table: &'a SliceTable,
     /// Membership view.
@@ -93,7 +93,7 @@
     }
 
     /// Steps for one write; empty if nothing should change.
-    pub fn plan(&mut self, input: Observed<'_>) -> Vec<Step> {
+    pub fn plan(&mut self, input: PlannerInput<'_>) -> Vec<Step> {
         self.observe_suspicions(input);
         self.observe_missing(input);
         if input.freshness != Freshness::Fresh {
@@ -111,10 +111,10 @@
 
     // The wait starts when this node sees the suspicion, on its own clock, and
     // restarts if the suspicion was cleared and set again.
-    fn observe_suspicions(&mut self, input: Observed<'_>) {
+    fn observe_suspicions(&mut self, input: PlannerInput<'_>) {
         let mut suspicions = HashMap::new();
         for slot in input.table.slots() {
-            let Some(epoch) = slot.mark_epoch else {
+            let Some(epoch) = slot.suspected_epoch else {
                 continue;
             };
             let known = self.suspicions.get(&slot.node_id);
@@ -125,7 +125,7 @@
         self.suspicions = suspicions;
     }
 
-    fn observe_missing(&mut self, input: Observed<'_>) {
+    fn observe_missing(&mut self, input: PlannerInput<'_>) {
         let slots = input.table.slots().iter();
         let missing = slots.filter(|slot| input.view.member(&slot.node_id).is_none());
         let since_ms = missing.map(|slot| {
@@ -139,7 +139,7 @@
     }
 
     /// Whether the slot's process is gone, as far as this node knows.
-    fn is_gone(&self, input: Observed<'_>, slot: &Slot) -> bool {
+    fn is_gone(&self, input: PlannerInput<'_>, slot: &Slot) -> bool {
         match input.view.member(&slot.node_id) {
             // Draining members transfer their slices themselves.
             Some(member) => matches!(member.state, MemberState::Dead | MemberState::Left),
@@ -155,10 +155,10 @@
         suspicion.is_some_and(|(_, seen_ms)| now_ms >= seen_ms + wait_ms)
     }
 
-    fn plan_own_slot(&self, input: Observed<'_>) -> Option<Step> {
+    fn plan_own_slot(&self, input: PlannerInput<'_>) -> Option<Step> {
         let table = input.table;
         let slot = table.slot(table.find(&self.own_slot.node_id)?);
-        let is_suspected = slot.mark_epoch.is_some();
+        let is_suspected = slot.suspected_epoch.is_some();
         if slot.ip == self.own_slot.ip {
             return is_suspected.then_some(Step::ClearSuspicion);
         }
@@ -172,7 +172,7 @@
             .then_some(Step::Claim)
     }
 
-    fn plan_takeovers(&mut self, input: Observed<'_>) -> Vec<Step> {
+    fn plan_takeovers(&mut self, input: PlannerInput<'_>) -> Vec<Step> {
         let slots = input.table.slots().iter();
         let gone = slots.filter(|slot| self.is_gone(input, slot));
         let steps = gone.filter_map(|slot| self.plan_takeover(input, slot));
@@ -185,13 +185,13 @@
         steps
     }
 
-    fn plan_takeover(&self, input: Observed<'_>, slot: &Slot) -> Option<Step> {
+    fn plan_takeover(&self, input: PlannerInput<'_>, slot: &Slot) -> Option<Step> {
         let sections = self.takeover_sections(input, slot);
         if sections.is_empty() {
             return None;
         }
         let node_id = slot.node_id.clone();
-        if slot.mark_epoch.is_none() {
+        if slot.suspected_epoch.is_none() {
             let last_ms = self.last_suspected_ms.get(&node_id);
             let may_suspect =
                 last_ms.is_none_or(|last_ms| input.now_ms >= last_ms + SUSPECT_PERIOD_MS);
@@ -204,7 +204,7 @@
     /// Sections that this node should take over from a slot: quota only if it
     /// is in the slot's zone, keys also from another zone if no usable member
     /// is left in the slot's zone.
-    fn takeover_sections(&self, input: Observed<'_>, slot: &Slot) -> Vec<Section> {
+    fn takeover_sections(&self, input: PlannerInput<'_>, slot: &Slot) -> Vec<Section> {
         let same_zone_owner =
             responsible_member(input.view, slot, |member| member.zone == slot.zone);
         let (new_owner, sections) = match same_zone_owner {
@@ -224,7 +224,7 @@
         sections.iter().copied().filter(owns).collect()
     }
 
-    fn plan_transfers(&mut self, input: Observed<'_>) -> Vec<Step> {
+    fn plan_transfers(&mut self, input: PlannerInput<'_>) -> Vec<Step> {
         let since_transfer_ms = self.last_transfer_ms.map(|last_ms| input.now_ms - last_ms);
         if !input.draining && since_transfer_ms.is_some_and(|ms| ms < TRANSFER_PERIOD_MS) {
             return vec![];
@@ -273,7 +273,7 @@
 /// different deficits.
 fn section_transfers(
     planner: &Planner,
-    input: Observed<'_>,
+    input: PlannerInput<'_>,
     own_index: SlotIndex,
     section: Section,
 ) -> Vec<Step> {
@@ -364,7 +364,7 @@
 /// Transfers all own slices in equal parts to the other owners, to those in the
 /// own zone if there are any.
 fn distribute_all(
-    input: Observed<'_>,
+    input: PlannerInput<'_>,
     own_index: SlotIndex,
     section: Section,
     shares: &[super::share::Share<'_>],
--- a/src/slices/steps.rs
+++ b/src/slices/steps.rs
@@ -55,7 +55,7 @@
             node_id: member.node_id.clone(),
             zone: member.zone.clone(),
             ip: member.ip,
-            mark_epoch: None,
+            suspected_epoch: None,
         }
     }
 }
@@ -78,11 +78,11 @@
         match step {
             Step::ClearSuspicion => {
                 let slot_index = self.find_or_add(own_slot);
-                self.slots[slot_index.index()].mark_epoch = None;
+                self.slots[slot_index.index()].suspected_epoch = None;
             }
             Step::Suspect { node_id } => {
                 if let Some(slot_index) = self.find(node_id) {
-                    self.slots[slot_index.index()].mark_epoch = Some(epoch);
+                    self.slots[slot_index.index()].suspected_epoch = Some(epoch);
                 }
             }
             Step::TakeOver { node_id, sections } => {
--- a/src/slices/table.rs
+++ b/src/slices/table.rs
@@ -45,7 +45,7 @@
     pub ip: IpAddr,
     /// Epoch of the write that marked the slot as suspected; `None` if it is
     /// not.
-    pub mark_epoch: Option<u64>,
+    pub suspected_epoch: Option<u64>,
 }
 
 /// Owner of a slice.
@@ -72,7 +72,7 @@
 /// A slice table that guard and quota apply, with its document's version.
 #[derives::value]
 #[derive(Eq)]
-pub struct HeldTable {
+pub struct VersionedSliceTable {
     /// Version of the document `slices`.
     pub version: u64,
     /// The table.
@@ -167,6 +167,6 @@
     pub fn usable_slot(&self, node_id: &str, ip: IpAddr) -> Option<SlotIndex> {
         let slot_index = self.find(node_id)?;
         let slot = self.slot(slot_index);
-        (slot.ip == ip && slot.mark_epoch.is_none()).then_some(slot_index)
+        (slot.ip == ip && slot.suspected_epoch.is_none()).then_some(slot_index)
     }
 }
--- a/src/slices/task.rs
+++ b/src/slices/task.rs
@@ -1,7 +1,9 @@
 //! Reads and writes the slice table and applies it to guard and quota.
 
 use {
-    super::{HeldTable, Observed, Planner, Section, SliceTable, SliceTransfer, Slot, Step},
+    super::{
+        Planner, PlannerInput, Section, SliceTable, SliceTransfer, Slot, Step, VersionedSliceTable,
+    },
     crate::{
         documents::{Document, DocumentKind, DocumentWriter, WriteResult},
         event,
@@ -36,7 +38,7 @@
 /// Inputs of the task and the users of the table.
 pub struct SliceInputs<W> {
     /// Slot of this node.
-    pub own: Slot,
+    pub own_slot: Slot,
     /// Clock and ticks.
     pub timer: Timer,
     /// Membership view.
@@ -66,16 +68,18 @@
 struct Task<W> {
     inputs: SliceInputs<W>,
     planner: Planner,
-    in_force: Option<Arc<HeldTable>>,
-    table_sender: watch::Sender<Option<Arc<HeldTable>>>,
+    in_force: Option<Arc<VersionedSliceTable>>,
+    table_sender: watch::Sender<Option<Arc<VersionedSliceTable>>>,
 }
 
 /// Starts the task, which ends with the timer. Returns the table in force.
 #[must_use]
-pub fn spawn<W: DocumentWriter>(inputs: SliceInputs<W>) -> watch::Receiver<Option<Arc<HeldTable>>> {
+pub fn spawn<W: DocumentWriter>(
+    inputs: SliceInputs<W>,
+) -> watch::Receiver<Option<Arc<VersionedSliceTable>>> {
     let (table_sender, table_receiver) = watch::channel(None);
     let task = Task {
-        planner: Planner::new(inputs.own.clone()),
+        planner: Planner::new(inputs.own_slot.clone()),
         inputs,
         in_force: None,
         table_sender,
@@ -130,7 +134,7 @@
         self.inputs.guard.observe_table(&table);
         self.inputs.quota.observe_table(&table);
         // Last: freshness relies on this version being in force from here on.
-        let in_force = Arc::new(HeldTable { version, table });
+        let in_force = Arc::new(VersionedSliceTable { version, table });
         self.in_force = Some(in_force.clone());
         self.table_sender.send_replace(Some(in_force));
     }
@@ -144,7 +148,7 @@
         if freshness != Freshness::Fresh || !self.is_first_member() {
             return;
         }
-        let table = SliceTable::new(self.inputs.own.clone());
+        let table = SliceTable::new(self.inputs.own_slot.clone());
         let result = self.write(0, &table).await;
         // After a lost response, a later poll may show this table. This process
         // or an earlier one of the slot, which may have executed keys since, may
@@ -152,7 +156,7 @@
         if let WriteResult::Written(version) = result {
             self.inputs.guard.set_fleet_creator();
             self.apply(version, table);
-            self.inputs.quota.created_fleet();
+            self.inputs.quota.set_fleet_creator();
         }
     }
 
@@ -161,13 +165,13 @@
         let mut usable_members = view.members.iter().filter(|member| member.is_usable());
         usable_members
             .next()
-            .is_none_or(|first| first.node_id == self.inputs.own.node_id)
+            .is_none_or(|first| first.node_id == self.inputs.own_slot.node_id)
     }
 
-    async fn plan(&mut self, in_force: &HeldTable, now_ms: u64) {
-        let HeldTable { version, table } = in_force;
+    async fn plan(&mut self, in_force: &VersionedSliceTable, now_ms: u64) {
+        let VersionedSliceTable { version, table } = in_force;
         let view = self.inputs.view.borrow().clone();
-        let input = Observed {
+        let input = PlannerInput {
             table,
             view: &view,
             freshness: self.inputs.freshness.borrow().at(now_ms),
@@ -178,7 +182,7 @@
         if steps.is_empty() {
             return;
         }
-        let next = table.with_steps(&self.inputs.own, &steps);
+        let next = table.with_steps(&self.inputs.own_slot, &steps);
         let outgoing = self.release(&steps);
         let result = self.write_until_result_known(*version, &next).await;
         if let WriteResult::Written(version) = result {
@@ -257,8 +261,8 @@
 
     fn is_still_own(&self, table: &SliceTable, export: &SliceExport) -> bool {
         let owner = table.owners(Section::Keys)[export.slice.index()];
-        table.slot(owner.slot).node_id == self.inputs.own.node_id
-            && owner.since_epoch == export.history.since_version
+        table.slot(owner.slot).node_id == self.inputs.own_slot.node_id
+            && owner.since_epoch == export.history.since_epoch
     }
 
     fn hand_over(&self, outgoing: Vec<OutgoingTransfer>, table: &SliceTable) {
@@ -278,7 +282,7 @@
                 let has_moved = table.slot(owner.slot).node_id == *to;
                 has_moved.then_some(Handover {
                     export,
-                    moved_by_version: owner.since_epoch,
+                    moved_by_epoch: owner.since_epoch,
                     to_started_unix_ms: outgoing_transfer.transfer.to_started_unix_ms,
                 })
             });
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -11,6 +11,6 @@
     exchange::{TargetResponse, exchange},
     gate::{GateClosed, Priority, SendGate},
     pool::{PoolError, PoolTarget, PooledConnection, TargetPool},
-    registration::{Registration, Standing},
+    registration::{NoticeStatus, Registration},
     serve::serve_local,
 };
--- a/src/target/registration.rs
+++ b/src/target/registration.rs
@@ -2,7 +2,7 @@
 
 /// How a notice of the target relates to earlier ones.
 #[derives::key]
-pub enum Standing {
+pub enum NoticeStatus {
     /// First notice of a process.
     NewProcess,
     /// Newer notice of the current process.
@@ -38,15 +38,15 @@
     }
 
     /// Records a heartbeat of a process.
-    pub fn alive(
+    pub fn record_heartbeat(
         &mut self,
         instance_id: &str,
         started_unix_ms: u64,
         sequence: Option<u64>,
-    ) -> Standing {
+    ) -> NoticeStatus {
         let status = self.classify(instance_id, started_unix_ms, sequence);
         match (status, &mut self.current) {
-            (Standing::NewProcess, current) => {
+            (NoticeStatus::NewProcess, current) => {
                 *current = Some(Process {
                     instance_id: instance_id.to_owned(),
                     started_unix_ms,
@@ -54,15 +54,15 @@
                     has_left: false,
                 });
             }
-            (Standing::Current, Some(process)) => process.sequence = sequence,
-            (Standing::Current, None) | (Standing::Outdated, _) => {}
+            (NoticeStatus::Current, Some(process)) => process.sequence = sequence,
+            (NoticeStatus::Current, None) | (NoticeStatus::Outdated, _) => {}
         }
         status
     }
 
     /// Records that a process shuts down for good; returns whether it is the current
     /// one.
-    pub fn leave(&mut self, instance_id: &str, started_unix_ms: Option<u64>) -> bool {
+    pub fn record_leave(&mut self, instance_id: &str, started_unix_ms: Option<u64>) -> bool {
         let Some(process) = &mut self.current else {
             return false;
         };
@@ -78,16 +78,21 @@
         true
     }
 
-    fn classify(&self, instance_id: &str, started_unix_ms: u64, sequence: Option<u64>) -> Standing {
+    fn classify(
+        &self,
+        instance_id: &str,
+        started_unix_ms: u64,
+        sequence: Option<u64>,
+    ) -> NoticeStatus {
         let Some(process) = &self.current else {
-            return Standing::NewProcess;
+            return NoticeStatus::NewProcess;
         };
         let is_same_process =
             process.instance_id == instance_id && process.started_unix_ms == started_unix_ms;
         if !is_same_process {
             return match started_unix_ms < process.started_unix_ms {
-                true => Standing::Outdated,
-                false => Standing::NewProcess,
+                true => NoticeStatus::Outdated,
+                false => NoticeStatus::NewProcess,
             };
         }
         let is_out_of_order = match (sequence, process.sequence) {
@@ -95,8 +100,8 @@
             _ => false,
         };
         match is_out_of_order || process.has_left {
-            true => Standing::Outdated,
-            false => Standing::Current,
+            true => NoticeStatus::Outdated,
+            false => NoticeStatus::Current,
         }
     }
 }
--- a/src/target/serve.rs
+++ b/src/target/serve.rs
@@ -54,7 +54,10 @@
 impl<P: Policies> Drop for RunTimeRecorder<P> {
     fn drop(&mut self) {
         let run_us = self.node.timer.now_us().saturating_sub(self.started_us);
-        self.node.downstream().relief.end(self.new_class, run_us);
+        self.node
+            .downstream()
+            .work_shares
+            .end(self.new_class, run_us);
     }
 }
 
@@ -190,8 +193,8 @@
         .get(&workspace)
         .and_then(|rules| rules.class);
     let mut downstream = node.downstream();
-    downstream.relief.arrive(new_class, now_us);
-    let limited_class = new_class?.within(workspace_class);
+    downstream.work_shares.arrive(new_class, now_us);
+    let limited_class = new_class?.with_workspace_class(workspace_class);
     if downstream.admits(new_class?, limited_class, rand::random(), now_us) {
         return None;
     }
@@ -233,7 +236,7 @@
         deadline_us,
         depth: context.depth,
         retry: node.retries().open(context.retry_allotment),
-        over: CancellationToken::new(),
+        ended: CancellationToken::new(),
         is_exhausted: false,
     }
 }
@@ -276,7 +279,7 @@
     } = target_response;
     if let Some(busy_ratio) = signal.busy_ratio {
         let received_us = node.timer.now_us();
-        node.admission().report(LoadReport {
+        node.admission().record_load_report(LoadReport {
             busy_ratio,
             received_us,
         });
@@ -291,11 +294,11 @@
     let result = if signal.is_shed {
         TargetResult::Shed
     } else {
-        TargetResult::Answered
+        TargetResult::Completed
     };
     if let Some(class) = running.new_class.filter(|_| signal.refusal.is_none()) {
         let has_failed = parts.status.is_server_error();
-        node.downstream().note_end(class, has_failed);
+        node.downstream().record_request_end(class, has_failed);
     }
     match collect(&mut body, node.settings.buffered_answer_bytes).await {
         Err(_) => running.fail(TargetResult::Failed, Refusal::unknown(Reason::BadAnswer)),
@@ -332,7 +335,7 @@
 fn finish_stream<P: Policies>(stream: StreamedResponse<P>, is_complete: bool) {
     if is_complete {
         stream.connection.return_to_pool(stream.idle_limit);
-        stream.running.end(TargetResult::Answered);
+        stream.running.end(TargetResult::Completed);
     } else {
         drop(stream.connection);
         stream.running.end(TargetResult::Failed);
--- a/tests/admission_downstream.rs
+++ b/tests/admission_downstream.rs
@@ -2,7 +2,7 @@
 
 use {
     dogwoodbridge::{
-        admission::Downstream,
+        admission::DownstreamAdmission,
         model::{AdmissionLevel, Class},
     },
     rand::{Rng, SeedableRng, rngs::StdRng},
@@ -18,7 +18,7 @@
 
 /// Completed requests per second. The deepest service refuses calls at random beyond its capacity;
 /// a request ends at its first refused call.
-fn served_per_s(downstream: &mut Downstream, duration_s: u64) -> f64 {
+fn served_per_s(downstream: &mut DownstreamAdmission, duration_s: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(5);
     let mut call_rate_per_s = 0.0;
     let mut served_count = 0;
@@ -33,7 +33,7 @@
             for _ in 0..CALLS_PER_REQUEST {
                 call_count += 1;
                 let is_refused = rng.random::<f64>() < refused_ratio;
-                downstream.note(is_refused, now_us);
+                downstream.record_call(is_refused, now_us);
                 if is_refused {
                     is_complete = false;
                     break;
@@ -51,7 +51,7 @@
 /// lose one of their calls, and callers get failures from a system at full load.
 #[test]
 fn throttling_new_requests_increases_goodput() {
-    let goodput_per_s = served_per_s(&mut Downstream::new(), 60);
+    let goodput_per_s = served_per_s(&mut DownstreamAdmission::new(), 60);
     let capacity_per_s = CAPACITY_PER_S / f64::from(CALLS_PER_REQUEST);
     println!("{goodput_per_s} of {capacity_per_s} requests per second");
     assert!(goodput_per_s > 0.55 * capacity_per_s, "{goodput_per_s}");
@@ -59,13 +59,13 @@
 
 #[test]
 fn shares_fall_by_class_and_not_below_their_minimum() {
-    let mut downstream = Downstream::new();
+    let mut downstream = DownstreamAdmission::new();
     let mut last_us = 0;
     let mut shares = Vec::new();
     for window in 1..30 {
         for _ in 0..20 {
             last_us = window * 200_000;
-            downstream.note(true, last_us);
+            downstream.record_call(true, last_us);
         }
         shares.push(Class::ALL.map(|class| downstream.share(class)));
     }
@@ -80,7 +80,7 @@
     // All shares recover once calls succeed.
     for window in 1..60 {
         for _ in 0..20 {
-            downstream.note(false, last_us + window * 200_000);
+            downstream.record_call(false, last_us + window * 200_000);
         }
     }
     assert_eq!(Class::ALL.map(|class| downstream.share(class)), [1.0; 3]);
@@ -89,9 +89,9 @@
 /// One target error in a hundred calls does not indicate overload.
 #[test]
 fn few_failures_do_not_throttle_requests() {
-    let mut downstream = Downstream::new();
+    let mut downstream = DownstreamAdmission::new();
     for index in 0..2000_u64 {
-        downstream.note(index.is_multiple_of(100), index * 5000);
+        downstream.record_call(index.is_multiple_of(100), index * 5000);
     }
     assert_eq!(downstream.share(Class::Browse), 1.0);
 }
@@ -136,12 +136,12 @@
         },
     ];
     for case in cases {
-        let mut downstream = Downstream::new();
+        let mut downstream = DownstreamAdmission::new();
         // One second with fifty calls in each 200 ms.
         for call in 0..250 {
             let now_us = 200_000 + call * 4000;
-            downstream.note(false, now_us);
-            downstream.note_level(case.level, now_us);
+            downstream.record_call(false, now_us);
+            downstream.record_level(case.level, now_us);
         }
         let share = downstream.share(Class::Browse);
         let name = case.name;
@@ -163,17 +163,17 @@
 /// and callers are refused unnecessarily.
 #[test]
 fn shares_recover_within_five_seconds() {
-    let mut downstream = Downstream::new();
+    let mut downstream = DownstreamAdmission::new();
     let mut now_us = 0;
     for _ in 0..1000 {
         now_us += 4000;
-        downstream.note_level(level(900, 0), now_us);
+        downstream.record_level(level(900, 0), now_us);
     }
     assert!(downstream.share(Class::Browse) < 0.31);
     let recovering_since_us = now_us;
     while downstream.share(Class::Browse) < 1.0 {
         now_us += 4000;
-        downstream.note_level(level(30, 0), now_us);
+        downstream.record_level(level(30, 0), now_us);
     }
     // A few windows until the average load has fallen; then one class after the other rises from
     // its minimum.
@@ -211,13 +211,13 @@
     ];
     for case in cases {
         let mut rng = StdRng::seed_from_u64(3);
-        let mut downstream = Downstream::new();
+        let mut downstream = DownstreamAdmission::new();
         for step in 0..4000_u64 {
             let now_us = step * 2000;
-            downstream.note(rng.random::<bool>(), now_us);
+            downstream.record_call(rng.random::<bool>(), now_us);
             if step.is_multiple_of(8) {
                 let has_failed = rng.random::<f64>() < case.failed_ratio;
-                downstream.note_end(Class::Critical, has_failed);
+                downstream.record_request_end(Class::Critical, has_failed);
             }
         }
         let is_throttled = downstream.share(Class::Critical) < 1.0;
@@ -249,7 +249,7 @@
         case(Some(Class::Browse), Class::Critical, Class::Browse),
     ];
     for case in &cases {
-        assert_eq!(case.route.within(case.workspace), case.ranked);
+        assert_eq!(case.route.with_workspace_class(case.workspace), case.ranked);
     }
     let ranked_classes = cases
         .iter()
--- a/tests/admission_drain.rs
+++ b/tests/admission_drain.rs
@@ -55,7 +55,7 @@
             .any(|decision| is_refused_as_draining(decision, late_ticket))
     );
     decisions.clear();
-    policy.end(running[0], TargetResult::Answered, 10, &mut decisions);
+    policy.end(running[0], TargetResult::Completed, 10, &mut decisions);
     assert_eq!(decisions, [Decision::Start(first_waiting)]);
     decisions.clear();
     policy.refuse_waiting(20, &mut decisions);
--- a/tests/admission_limit.rs
+++ b/tests/admission_limit.rs
@@ -166,7 +166,7 @@
         self.algorithm.tick(now_us);
     }
 
-    fn report(&mut self, _report: LoadReport) {}
+    fn record_load_report(&mut self, _report: LoadReport) {}
 
     fn drain(&mut self) {}
 
--- a/tests/admission_properties.rs
+++ b/tests/admission_properties.rs
@@ -94,7 +94,7 @@
             return;
         };
         let result = [
-            TargetResult::Answered,
+            TargetResult::Completed,
             TargetResult::Shed,
             TargetResult::Failed,
             TargetResult::Cancelled,
@@ -120,7 +120,7 @@
     }
 
     fn tick(&mut self, choice: u8) {
-        self.policy.report(LoadReport {
+        self.policy.record_load_report(LoadReport {
             busy_ratio: f64::from(choice) / 255.0,
             received_us: self.now_us,
         });
--- a/tests/admission_queue.rs
+++ b/tests/admission_queue.rs
@@ -83,7 +83,7 @@
         for ticket in tickets {
             self.policy.end(
                 *ticket,
-                TargetResult::Answered,
+                TargetResult::Completed,
                 self.now_us,
                 &mut self.decisions,
             );
--- a/tests/admission_support/mod.rs
+++ b/tests/admission_support/mod.rs
@@ -344,7 +344,7 @@
             .or_default() += 1;
         self.policy.end(
             request.ticket,
-            TargetResult::Answered,
+            TargetResult::Completed,
             now_us,
             &mut self.decisions,
         );
@@ -377,7 +377,7 @@
     fn tick(&mut self, now_us: u64) {
         self.schedule(now_us + TICK_US, Event::Tick);
         if let Report::Always(busy_ratio) = self.scenario.report {
-            self.policy.report(LoadReport {
+            self.policy.record_load_report(LoadReport {
                 busy_ratio,
                 received_us: now_us,
             });
--- a/tests/admission_urgent_demand.rs
+++ b/tests/admission_urgent_demand.rs
@@ -54,7 +54,7 @@
             .extract_if(.., |(end_us, _)| *end_us <= now_us)
             .collect();
         for (_, ticket) in ended {
-            policy.end(ticket, TargetResult::Answered, now_us, &mut decisions);
+            policy.end(ticket, TargetResult::Completed, now_us, &mut decisions);
         }
         if step.is_multiple_of(10) {
             policy.tick(now_us, &mut decisions);
--- a/tests/guard.rs
+++ b/tests/guard.rs
@@ -4,8 +4,8 @@
 use dogwoodbridge::{
     freshness::Freshness,
     guard::{
-        Begin, CLOCK_MARGIN_MS, Finish, GuardKey, GuardTable, GuardTime, Handover, History,
-        KeyedRequest, RETENTION_MS, StoredAnswer,
+        BeginDecision, CLOCK_MARGIN_MS, ExecutionResult, GuardKey, GuardTable, GuardTime, Handover,
+        KeyedRequest, RETENTION_MS, SliceHistory, StoredResponse,
     },
     model::{Reason, Refusal, WorkspaceKey},
 };
@@ -38,8 +38,8 @@
     }
 }
 
-fn response(body: &'static str) -> StoredAnswer {
-    StoredAnswer {
+fn response(body: &'static str) -> StoredResponse {
+    StoredResponse {
         status: 201,
         headers: vec![],
         body: body.into(),
@@ -50,8 +50,8 @@
 /// them if `None`.
 fn home(known_since_ms: Option<u64>) -> GuardTable {
     let mut table = GuardTable::new(1);
-    let history = History {
-        since_version: 3,
+    let history = SliceHistory {
+        since_epoch: 3,
         known_since_unix_ms: known_since_ms
             .map_or(0, |known_since_ms| START_UNIX_MS + known_since_ms),
     };
@@ -147,8 +147,8 @@
             case.freshness,
         );
         let expected = match case.expected {
-            Ok(()) => Begin::Execute,
-            Err(refusal) => Begin::Refuse(refusal),
+            Ok(()) => BeginDecision::Execute,
+            Err(refusal) => BeginDecision::Refuse(refusal),
         };
         assert_eq!(begin, expected, "{}", case.name);
     }
@@ -156,9 +156,9 @@
 
 struct ResendCase {
     name: &'static str,
-    finish: Option<Finish>,
+    finish: Option<ExecutionResult>,
     fingerprint: u64,
-    expected: Begin,
+    expected: BeginDecision,
 }
 
 #[test]
@@ -168,37 +168,39 @@
             name: "still running",
             finish: None,
             fingerprint: 1,
-            expected: Begin::Refuse(Refusal::unknown(Reason::InProgress).with_retry_after_ms(200)),
+            expected: BeginDecision::Refuse(
+                Refusal::unknown(Reason::InProgress).with_retry_after_ms(200),
+            ),
         },
         ResendCase {
             name: "response stored",
-            finish: Some(Finish::Answered(response("done"))),
+            finish: Some(ExecutionResult::Responded(response("done"))),
             fingerprint: 1,
-            expected: Begin::Replay(response("done")),
+            expected: BeginDecision::Replay(response("done")),
         },
         ResendCase {
             name: "provably not run",
-            finish: Some(Finish::NotRun),
+            finish: Some(ExecutionResult::NotRun),
             fingerprint: 1,
-            expected: Begin::Execute,
+            expected: BeginDecision::Execute,
         },
         ResendCase {
             name: "unknown",
-            finish: Some(Finish::Unknown),
+            finish: Some(ExecutionResult::Unknown),
             fingerprint: 1,
-            expected: Begin::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
+            expected: BeginDecision::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
         },
         ResendCase {
             name: "key reused for another request",
-            finish: Some(Finish::Answered(response("done"))),
+            finish: Some(ExecutionResult::Responded(response("done"))),
             fingerprint: 2,
-            expected: Begin::Refuse(Refusal::not_run(Reason::KeyReused).with_exhausted()),
+            expected: BeginDecision::Refuse(Refusal::not_run(Reason::KeyReused).with_exhausted()),
         },
     ];
     for case in cases {
         let mut table = home(None);
         let first = table.begin(&request(None), time(0), Freshness::Fresh);
-        assert_eq!(first, Begin::Execute, "{}", case.name);
+        assert_eq!(first, BeginDecision::Execute, "{}", case.name);
         if let Some(finish) = case.finish {
             table.finish(key(7), finish, time(10));
         }
@@ -217,26 +219,30 @@
 fn a_planned_move_keeps_keys_and_history() {
     let (mut previous_home, mut next_home) = (home(None), GuardTable::new(1));
     previous_home.begin(&request(None), time(0), Freshness::Fresh);
-    previous_home.finish(key(7), Finish::Answered(response("done")), time(10));
+    previous_home.finish(
+        key(7),
+        ExecutionResult::Responded(response("done")),
+        time(10),
+    );
     let export = previous_home
         .release(key(7).slice(), time(20))
         .expect("the slice was held");
     let refused = previous_home.begin(&request(None), time(20), Freshness::Fresh);
-    assert!(matches!(refused, Begin::Refuse(refusal) if refusal.reason == Reason::NoHome));
+    assert!(matches!(refused, BeginDecision::Refuse(refusal) if refusal.reason == Reason::NoHome));
 
-    let history = History {
-        since_version: 4,
+    let history = SliceHistory {
+        since_epoch: 4,
         known_since_unix_ms: time(30).unix_ms,
     };
     next_home.hold(key(7).slice(), history);
     let handover = Handover {
         export,
-        moved_by_version: 4,
+        moved_by_epoch: 4,
         to_started_unix_ms: 1,
     };
     let misdirected = [
         Handover {
-            moved_by_version: 3,
+            moved_by_epoch: 3,
             ..handover.clone()
         },
         Handover {
@@ -256,14 +262,14 @@
         "second copy of a handover"
     );
     let resend = next_home.begin(&request(None), time(50), Freshness::Fresh);
-    assert_eq!(resend, Begin::Replay(response("done")));
+    assert_eq!(resend, BeginDecision::Replay(response("done")));
     let other = KeyedRequest {
         key: key(7 + 4096),
         ..request(None)
     };
     assert_eq!(
         next_home.begin(&other, time(50), Freshness::Fresh),
-        Begin::Execute
+        BeginDecision::Execute
     );
 }
 
@@ -276,8 +282,14 @@
         ..request(None)
     };
     let refused = table.begin(&other, time(1), Freshness::Fresh);
-    assert!(matches!(refused, Begin::Refuse(refusal) if refusal.reason == Reason::Overloaded));
-    table.finish(key(7), Finish::Answered(response("done")), time(2));
+    assert!(
+        matches!(refused, BeginDecision::Refuse(refusal) if refusal.reason == Reason::Overloaded)
+    );
+    table.finish(
+        key(7),
+        ExecutionResult::Responded(response("done")),
+        time(2),
+    );
     table.expire(RETENTION_MS + 1);
     assert_eq!(table.record_count(), 1);
     table.expire(RETENTION_MS + 2);
@@ -286,5 +298,5 @@
         (0, 0)
     );
     let begin = table.begin(&other, time(RETENTION_MS + 3), Freshness::Fresh);
-    assert_eq!(begin, Begin::Execute);
+    assert_eq!(begin, BeginDecision::Execute);
 }
--- a/tests/guard_property.rs
+++ b/tests/guard_property.rs
@@ -11,8 +11,8 @@
     dogwoodbridge::{
         freshness::{DRIFT_MARGIN_MS, FRESH_LIMIT_MS, Freshness},
         guard::{
-            Begin, Finish, GuardKey, GuardTable, GuardTime, Handover, History, KeyedRequest,
-            StoredAnswer,
+            BeginDecision, ExecutionResult, GuardKey, GuardTable, GuardTime, Handover,
+            KeyedRequest, SliceHistory, StoredResponse,
         },
         model::WorkspaceKey,
     },
@@ -118,8 +118,8 @@
             execution_counts: HashMap::new(),
             handovers: vec![],
         };
-        let history = History {
-            since_version: 1,
+        let history = SliceHistory {
+            since_epoch: 1,
             known_since_unix_ms: 0,
         };
         fixture.nodes[0].guard.hold(key(0).slice(), history);
@@ -161,12 +161,12 @@
             return;
         }
         let history = state.guard.history(slice);
-        if history.is_some_and(|history| history.since_version == self.since_version) {
+        if history.is_some_and(|history| history.since_epoch == self.since_version) {
             return;
         }
         state.guard.release(slice, time);
-        let history = History {
-            since_version: self.since_version,
+        let history = SliceHistory {
+            since_epoch: self.since_version,
             known_since_unix_ms: time.unix_ms,
         };
         state.guard.hold(slice, history);
@@ -221,7 +221,7 @@
             return;
         };
         let (time, freshness) = (self.time(node), self.freshness(node));
-        if self.nodes[node].guard.begin(&request, time, freshness) == Begin::Execute {
+        if self.nodes[node].guard.begin(&request, time, freshness) == BeginDecision::Execute {
             let process = self.nodes[node].process;
             self.executions.push((node, process, request.key));
         }
@@ -233,17 +233,17 @@
         }
         let index = usize::from(execution) % self.executions.len();
         let (node, process, key) = self.executions.swap_remove(index);
-        let response = StoredAnswer {
+        let response = StoredResponse {
             status: 200,
             headers: vec![],
             body: "done".into(),
         };
         let finish = match result % 3 {
-            0 => Finish::NotRun,
-            1 => Finish::Unknown,
-            _ => Finish::Answered(response),
+            0 => ExecutionResult::NotRun,
+            1 => ExecutionResult::Unknown,
+            _ => ExecutionResult::Responded(response),
         };
-        if finish != Finish::NotRun {
+        if finish != ExecutionResult::NotRun {
             *self.execution_counts.entry(key).or_default() += 1;
         }
         let time = self.time(node);
@@ -278,7 +278,7 @@
             self.move_to(to);
             self.handovers.push(Handover {
                 export,
-                moved_by_version: self.version,
+                moved_by_epoch: self.version,
                 to_started_unix_ms,
             });
         }
--- a/tests/local_mesh/alone.rs
+++ b/tests/local_mesh/alone.rs
@@ -2,7 +2,7 @@
 
 use {
     dogwoodbridge::{
-        guard::{Begin, Finish, GuardKey, KeyedRequest, StoredAnswer},
+        guard::{BeginDecision, ExecutionResult, GuardKey, KeyedRequest, StoredResponse},
         model::{Class, Reason, Refusal, WorkspaceKey},
         node::{Home, KeyGuard},
         quota::{QuotaGate, Rate},
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 enum RecordState {
     InProgress,
-    Answered(StoredAnswer),
+    Answered(StoredResponse),
     Unknown,
 }
 
@@ -108,18 +108,18 @@
 impl KeyGuard for LocalGuard {
     fn home(&self, key: GuardKey) -> Result<Home, Refusal> {
         if self.homes.is_empty() {
-            return Ok(Home::Own);
+            return Ok(Home::Local);
         }
         let index = key.key_hash % self.homes.len() as u128;
         let home = &self.homes[usize::try_from(index).unwrap_or(0)];
         if *home == self.own {
-            Ok(Home::Own)
+            Ok(Home::Local)
         } else {
             Ok(Home::Node(home.clone()))
         }
     }
 
-    fn begin(&self, call: KeyedRequest) -> Begin {
+    fn begin(&self, call: KeyedRequest) -> BeginDecision {
         let mut records = self.records.lock().expect("lock is not poisoned");
         let Some(record) = records.get(&call.key) else {
             let record = Record {
@@ -127,27 +127,27 @@
                 state: RecordState::InProgress,
             };
             records.insert(call.key, record);
-            return Begin::Execute;
+            return BeginDecision::Execute;
         };
         if record.fingerprint != call.fingerprint {
-            return Begin::Refuse(Refusal::not_run(Reason::KeyReused));
+            return BeginDecision::Refuse(Refusal::not_run(Reason::KeyReused));
         }
         match &record.state {
-            RecordState::InProgress => Begin::Refuse(Refusal::unknown(Reason::InProgress)),
-            RecordState::Answered(answer) => Begin::Replay(answer.clone()),
-            RecordState::Unknown => Begin::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
+            RecordState::InProgress => BeginDecision::Refuse(Refusal::unknown(Reason::InProgress)),
+            RecordState::Answered(answer) => BeginDecision::Replay(answer.clone()),
+            RecordState::Unknown => BeginDecision::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
         }
     }
 
-    fn finish(&self, key: GuardKey, finish: Finish) {
+    fn finish(&self, key: GuardKey, finish: ExecutionResult) {
         let mut records = self.records.lock().expect("lock is not poisoned");
         let state = match finish {
-            Finish::NotRun => {
+            ExecutionResult::NotRun => {
                 records.remove(&key);
                 return;
             }
-            Finish::Answered(answer) => RecordState::Answered(answer),
-            Finish::Unknown => RecordState::Unknown,
+            ExecutionResult::Responded(answer) => RecordState::Answered(answer),
+            ExecutionResult::Unknown => RecordState::Unknown,
         };
         if let Some(record) = records.get_mut(&key) {
             record.state = state;
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -38,8 +38,8 @@
     BorrowRequest {
         workspace: WORKSPACE,
         borrower: process("b"),
-        bank_id: POOL_ID,
-        last_loan: 0,
+        pool_id: POOL_ID,
+        last_batch_number: 0,
         held_count: 0,
         returned_count: 0,
         need_count,
@@ -77,13 +77,13 @@
     let mut pool = TokenPool::new(POOL_ID, 0);
     pool.apply_lease("o", 0, full_lease(), refill, 0);
     let first = pool.borrow(&borrow_request(40), refill, 0);
-    assert_eq!((first.granted_count, first.loan), (40, 1));
+    assert_eq!((first.granted_count, first.batch_number), (40, 1));
     assert_eq!(
         pool.borrow(&borrow_request(1), refill, 1000).granted_count,
         0
     );
     let report = |last_loan, held_count| BorrowRequest {
-        last_loan,
+        last_batch_number: last_loan,
         held_count,
         ..borrow_request(40)
     };
@@ -93,7 +93,7 @@
         "15 are spent; capacity accrues from here"
     );
     let second = pool.borrow(&report(1, 25), refill, 3000);
-    assert_eq!((second.granted_count, second.loan), (15, 2));
+    assert_eq!((second.granted_count, second.batch_number), (15, 2));
     pool.borrow(&report(2, 40), refill, 4000);
     // The first report again, late: it must not free tokens that are held now.
     pool.borrow(&report(1, 25), refill, 5000);
@@ -107,7 +107,7 @@
     pool.apply_lease("o", 0, full_lease(), RATE, 0);
     pool.borrow(&borrow_request(10), RATE, 0);
     let returning_request = BorrowRequest {
-        last_loan: 1,
+        last_batch_number: 1,
         returned_count: 6,
         ..borrow_request(0)
     };
@@ -207,8 +207,8 @@
         for (pool_id, batch_number, arrives_us) in case.responses {
             now_us = arrives_us;
             let response = BorrowResponse {
-                bank_id: pool_id,
-                loan: batch_number,
+                pool_id,
+                batch_number,
                 granted_count: 5,
                 ttl_ms: BATCH_TTL_MS,
                 empty_for_ms: 0,
@@ -237,9 +237,9 @@
     owner.set_slices([(SliceIndex::new(3), 1)], |_| rate, 0);
     let lease = |pool_id| LeaseRequest {
         workspace: WORKSPACE,
-        bank: PoolRef {
+        pool: PoolRef {
             node_id: "bank".to_owned(),
-            bank_id: pool_id,
+            pool_id,
         },
         predecessor_id: 0,
     };
@@ -271,7 +271,7 @@
     assert_eq!((taken_over.slice_count, taken_over.level), (1, 0));
     let late_response = owner.lease(&lease(1), rate, now_us + 1000);
     assert_eq!(
-        (late_response.slice_count, late_response.holder.bank_id),
+        (late_response.slice_count, late_response.holder.pool_id),
         (0, 3)
     );
     let over_us = now_us + 1000 + quarantine_us;
--- a/tests/quota_fleet.rs
+++ b/tests/quota_fleet.rs
@@ -6,13 +6,13 @@
     dogwoodbridge::{
         documents::{Document, DocumentKind, DocumentWriter, WriteResult},
         freshness::{Freshness, Snapshot},
-        guard::{Begin, Finish, GuardHome, KeyedRequest, StoredAnswer},
+        guard::{BeginDecision, ExecutionResult, GuardHome, KeyedRequest, StoredResponse},
         membership::{Member, MemberPorts, MemberState, View},
         model::{Class, Names, Reason, WorkspaceKey},
         quota::{self, LeasedQuota, QuotaGate, QuotaInputs, Rate, Rates},
         rpc::{self, CallKind, DocumentSource, NodeHandlers, RpcClient, RpcConfig},
         settings::Settings,
-        slices::{self, HeldTable, Section, SliceInputs, SliceTable, Slot},
+        slices::{self, Section, SliceInputs, SliceTable, Slot, VersionedSliceTable},
         timer::Timer,
     },
     std::{
@@ -84,7 +84,7 @@
     quota: LeasedQuota,
     guard: Arc<GuardHome>,
     client: RpcClient,
-    table: watch::Receiver<Option<Arc<HeldTable>>>,
+    table: watch::Receiver<Option<Arc<VersionedSliceTable>>>,
     draining: watch::Sender<bool>,
     view: watch::Sender<Arc<View>>,
     workspace: WorkspaceKey,
@@ -171,7 +171,7 @@
     let config = RpcConfig::new(&settings, names);
     rpc::spawn(config, calls, Arc::new(handlers), shutdown.clone()).expect("the address is free");
     let table = slices::spawn(SliceInputs {
-        own,
+        own_slot: own,
         timer,
         view,
         freshness,
@@ -295,7 +295,9 @@
     let mut fleet = Fleet::start(3, 6, 0);
     fleet.wait_for_table(|table| table.slots().len() == 6).await;
     tokio::time::sleep(Duration::from_millis(2200 + 500)).await;
-    let dead_node = quota::banks(&fleet.view, "shop", "z0")[0].node_id.clone();
+    let dead_node = quota::pool_nodes(&fleet.view, "shop", "z0")[0]
+        .node_id
+        .clone();
     let dead_node = fleet
         .view
         .members
@@ -340,7 +342,9 @@
     let mut fleet = Fleet::start(4, 6, 0);
     fleet.wait_for_table(|table| table.slots().len() == 6).await;
     tokio::time::sleep(Duration::from_millis(2200 + 1600)).await;
-    let first_node = quota::banks(&fleet.view, "shop", "z0")[0].node_id.clone();
+    let first_node = quota::pool_nodes(&fleet.view, "shop", "z0")[0]
+        .node_id
+        .clone();
     let first_node = fleet
         .view
         .members
@@ -352,7 +356,9 @@
         100
     );
     fleet.set_member_state(first_node, MemberState::Draining);
-    let second_node = quota::banks(&fleet.view, "shop", "z0")[0].node_id.clone();
+    let second_node = quota::pool_nodes(&fleet.view, "shop", "z0")[0]
+        .node_id
+        .clone();
     assert_ne!(second_node, fleet.view.members[first_node].node_id);
     for node in &fleet.nodes {
         assert_eq!(admit_at_once(node, 10).await, 10);
@@ -369,7 +375,7 @@
     let requests =
         (0..40).map(|n| KeyedRequest::new(WorkspaceKey::new(0), "shop", &format!("order {n}"), 1));
     let requests: Vec<KeyedRequest> = requests.collect();
-    let response = StoredAnswer {
+    let response = StoredResponse {
         status: 201,
         headers: vec![],
         body: "done".into(),
@@ -377,8 +383,8 @@
     for request in &requests {
         let guard = &fleet.home_of(request).guard;
         // The history of slices that moved here may still be on its way.
-        wait_until(|| guard.begin(request) == Begin::Execute).await;
-        guard.finish(request.key, Finish::Answered(response.clone()));
+        wait_until(|| guard.begin(request) == BeginDecision::Execute).await;
+        guard.finish(request.key, ExecutionResult::Responded(response.clone()));
     }
     fleet.set_member_state(1, MemberState::Draining);
     fleet.nodes[1].draining.send_replace(true);
@@ -387,10 +393,10 @@
         .await;
     for request in &requests {
         let guard = &fleet.home_of(request).guard;
-        let replay = Begin::Replay(response.clone());
+        let replay = BeginDecision::Replay(response.clone());
         wait_until(|| {
             let begin = guard.begin(request);
-            assert_ne!(begin, Begin::Execute);
+            assert_ne!(begin, BeginDecision::Execute);
             begin == replay
         })
         .await;
--- a/tests/quota_property.rs
+++ b/tests/quota_property.rs
@@ -396,12 +396,12 @@
         let queries = pool.owners_to_query(names.iter().map(String::as_str), now_us);
         let pool = PoolRef {
             node_id: node.to_string(),
-            bank_id: pool.pool_id(),
+            pool_id: pool.pool_id(),
         };
         for query in queries {
             let request = LeaseRequest {
                 workspace: WORKSPACE,
-                bank: pool.clone(),
+                pool: pool.clone(),
                 predecessor_id: query.predecessor_id,
             };
             let owner = query.owner.parse().expect("a number");
--- a/tests/quota_rpc.rs
+++ b/tests/quota_rpc.rs
@@ -4,7 +4,7 @@
     clap::Parser,
     dogwoodbridge::{
         documents::{Document, DocumentKind},
-        guard::{GuardKey, Handover, History, SliceExport, SliceRecord, StoredAnswer},
+        guard::{GuardKey, Handover, SliceExport, SliceHistory, SliceRecord, StoredResponse},
         model::{Names, WorkspaceKey},
         quota::{
             BorrowRequest, BorrowResponse, HandedOverLease, LeaseRequest, LeaseResponse,
@@ -45,15 +45,15 @@
             level: 1 << 50,
             ttl_ms: 3,
             busy_ms: 4,
-            holder: request.bank,
+            holder: request.pool,
         }
     }
 
     async fn borrow(&self, request: BorrowRequest) -> BorrowResponse {
         self.borrow_requests.lock().expect("no panic").push(request);
         BorrowResponse {
-            bank_id: 1,
-            loan: 2,
+            pool_id: 1,
+            batch_number: 2,
             granted_count: 3,
             ttl_ms: 4,
             empty_for_ms: 5,
@@ -154,11 +154,11 @@
 
     let pool = PoolRef {
         node_id: "bank".to_owned(),
-        bank_id: u64::MAX,
+        pool_id: u64::MAX,
     };
     let request = LeaseRequest {
         workspace: client_key,
-        bank: pool.clone(),
+        pool: pool.clone(),
         predecessor_id: 77,
     };
     let response = client_node.client.lease(server_node.address, request).await;
@@ -179,8 +179,8 @@
     let request = BorrowRequest {
         workspace: client_key,
         borrower: process(1),
-        bank_id: 2,
-        last_loan: 3,
+        pool_id: 2,
+        last_batch_number: 3,
         held_count: 4,
         returned_count: 5,
         need_count: 6,
@@ -223,8 +223,8 @@
     let handover = |workspace| Handover {
         export: SliceExport {
             slice: SliceIndex::new(5),
-            history: History {
-                since_version: 1,
+            history: SliceHistory {
+                since_epoch: 1,
                 known_since_unix_ms: 2,
             },
             records: vec![SliceRecord {
@@ -233,7 +233,7 @@
                     key_hash: 1 << 100,
                 },
                 fingerprint: 3,
-                answer: Some(StoredAnswer {
+                response: Some(StoredResponse {
                     status: 201,
                     headers: vec![("a".to_owned(), "b".to_owned())],
                     body: "body".into(),
@@ -241,7 +241,7 @@
                 keep_for_ms: 4,
             }],
         },
-        moved_by_version: 6,
+        moved_by_epoch: 6,
         to_started_unix_ms: 7,
     };
     let was_accepted = client_node
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -137,7 +137,7 @@
     for case in cases {
         let mut budget = ChainBudget::new();
         for index in 0..case.first_count {
-            budget.first_attempt(SERVICE, u64::from(index) * 1000);
+            budget.record_first_attempt(SERVICE, u64::from(index) * 1000);
         }
         let count_granted = |budget: &mut ChainBudget, now_us| {
             (0..2000)
@@ -195,7 +195,7 @@
         // Enough first attempts that the share does not limit the retries.
         for node in &mut nodes {
             for _ in 0..100_000 {
-                node.first_attempt(SERVICE, 0);
+                node.record_first_attempt(SERVICE, 0);
             }
         }
         Self {
@@ -245,7 +245,7 @@
 
     /// Attempts a call at the next hop until it succeeds or may not be retried.
     fn run_attempts(&mut self, depth: usize, call: CallKey) -> bool {
-        self.nodes[depth].first_attempt(SERVICE, self.now_us);
+        self.nodes[depth].record_first_attempt(SERVICE, self.now_us);
         loop {
             let child = self.nodes[depth].allot_to_child(call);
             let response = self.run_hop(depth + 1, child.allotment);
--- a/tests/routing_properties.rs
+++ b/tests/routing_properties.rs
@@ -18,7 +18,7 @@
 const STEP_COUNT: usize = 200;
 const CASE_COUNT: usize = 2000;
 const RESULTS: [AttemptResult; 4] = [
-    AttemptResult::Answered,
+    AttemptResult::Completed,
     AttemptResult::Refused,
     AttemptResult::Failed,
     AttemptResult::Cancelled,
@@ -154,7 +154,7 @@
         let result = RESULTS[usize::from(choice) % 4];
         let latency_us = u64::from(choice) * 1000;
         self.router
-            .end(key, result, latency_us, Some(level), self.now_us);
+            .end_attempt(key, result, latency_us, Some(level), self.now_us);
     }
 }
 
--- a/tests/routing_silence.rs
+++ b/tests/routing_silence.rs
@@ -82,8 +82,9 @@
             if let Ok(target) = self.pick() {
                 picked.push((self.now_us, target));
                 if !self.unreachable.contains(&target) {
-                    let result = AttemptResult::Answered;
-                    self.router.end(target, result, 5000, None, self.now_us);
+                    let result = AttemptResult::Completed;
+                    self.router
+                        .end_attempt(target, result, 5000, None, self.now_us);
                 }
             }
         }
--- a/tests/routing_zone.rs
+++ b/tests/routing_zone.rs
@@ -47,13 +47,13 @@
 
     fn end(&mut self, target: TargetKey, result: AttemptResult, latency_us: u64) {
         self.router
-            .end(target, result, latency_us, None, self.now_us);
+            .end_attempt(target, result, latency_us, None, self.now_us);
     }
 
     fn respond_with_level(&mut self, target: TargetKey, admission_level: AdmissionLevel) {
-        let result = AttemptResult::Answered;
+        let result = AttemptResult::Completed;
         self.router
-            .end(target, result, 1000, Some(admission_level), self.now_us);
+            .end_attempt(target, result, 1000, Some(admission_level), self.now_us);
     }
 
     /// Sends requests 1 ms apart and counts them by the target's index;
@@ -300,11 +300,11 @@
         },
         Case {
             name: "slow",
-            faulty: (AttemptResult::Answered, 100_000),
+            faulty: (AttemptResult::Completed, 100_000),
         },
     ] {
         let mut fixture = Fixture::new(&[Distance::SameZone; 4]);
-        let healthy = (AttemptResult::Answered, 10_000);
+        let healthy = (AttemptResult::Completed, 10_000);
         let before = fixture.send(4000, |_, _| healthy);
         let is_even = before.values().all(|count| (600..1400).contains(count));
         assert!(is_even, "{}: {before:?}", case.name);
@@ -350,7 +350,7 @@
             .expect("one target is healthy");
         let (result, latency_us) = match fixture.target_index(target) {
             0 => (AttemptResult::Failed, 50),
-            _ => (AttemptResult::Answered, 1000),
+            _ => (AttemptResult::Completed, 1000),
         };
         failed_count += usize::from(result == AttemptResult::Failed);
         fixture.end(target, result, latency_us);
@@ -396,7 +396,7 @@
 #[test]
 fn a_new_target_gets_a_growing_share() {
     let mut fixture = Fixture::new(&[Distance::SameZone; 3]);
-    let healthy = (AttemptResult::Answered, 10_000);
+    let healthy = (AttemptResult::Completed, 10_000);
     fixture.send(3000, |_, _| healthy);
     let new_target = fixture
         .router
@@ -463,7 +463,7 @@
         },
         Case {
             name: "a route and a workspace without a common region",
-            regions: RegionSet::only([near]).both(RegionSet::only([far])),
+            regions: RegionSet::only([near]).intersection(RegionSet::only([far])),
             expected: None,
         },
     ];
--- a/tests/slices.rs
+++ b/tests/slices.rs
@@ -6,7 +6,7 @@
         freshness::Freshness,
         membership::{Member, MemberPorts, MemberState, View},
         slices::{
-            MISSING_WAIT_MS, Observed, Planner, SLICE_COUNT, SUSPECT_PERIOD_MS, Section,
+            MISSING_WAIT_MS, Planner, PlannerInput, SLICE_COUNT, SUSPECT_PERIOD_MS, Section,
             SliceTable, SliceTableError, Slot, Step, TAKEOVER_WAIT_MS,
         },
     },
@@ -70,7 +70,7 @@
         let members = self.view.members.iter();
         for (planner, member) in self.planners.iter_mut().zip(members) {
             let is_running = !matches!(member.state, MemberState::Dead | MemberState::Left);
-            let observed = Observed {
+            let observed = PlannerInput {
                 table: &self.table,
                 view: &self.view,
                 freshness: Freshness::Fresh,
@@ -216,7 +216,7 @@
     };
     let mut planner = Planner::new(fleet.planners[1].own_slot().clone());
     let mut plan = |now_ms| {
-        planner.plan(Observed {
+        planner.plan(PlannerInput {
             table: &fleet.table,
             view: &view,
             freshness: Freshness::Fresh,
@@ -311,7 +311,7 @@
 fn nothing_is_planned_without_freshness() {
     let mut fleet = Fleet::new(1, 2);
     for freshness in [Freshness::StoreDown, Freshness::CutOff] {
-        let observed = Observed {
+        let observed = PlannerInput {
             table: &fleet.table,
             view: &fleet.view,
             freshness,
--- a/tests/target_registration.rs
+++ b/tests/target_registration.rs
@@ -1,7 +1,7 @@
 //! Which process of a target is the current one when notices are delayed,
 //! duplicated or from an earlier process.
 
-use dogwoodbridge::target::{Registration, Standing};
+use dogwoodbridge::target::{NoticeStatus, Registration};
 
 enum Notice {
     Alive(&'static str, u64, u64),
@@ -10,7 +10,7 @@
 
 struct Case {
     name: &'static str,
-    notices: Vec<(Notice, Option<Standing>)>,
+    notices: Vec<(Notice, Option<NoticeStatus>)>,
 }
 
 /// A partition delays a heartbeat while its process crashes and another one
@@ -20,7 +20,7 @@
 fn only_current_process_is_accepted() {
     use {
         Notice::{Alive, Leave},
-        Standing::{Current, NewProcess, Outdated},
+        NoticeStatus::{Current, NewProcess, Outdated},
     };
     let cases = [
         Case {
@@ -72,12 +72,12 @@
         let mut registration = Registration::new();
         for (index, (notice, expected)) in case.notices.into_iter().enumerate() {
             let status = match notice {
-                Alive(instance_id, started_unix_ms, sequence) => {
-                    Some(registration.alive(instance_id, started_unix_ms, Some(sequence)))
-                }
+                Alive(instance_id, started_unix_ms, sequence) => Some(
+                    registration.record_heartbeat(instance_id, started_unix_ms, Some(sequence)),
+                ),
                 Leave(instance_id, started_unix_ms) => {
                     assert!(
-                        registration.leave(instance_id, started_unix_ms),
+                        registration.record_leave(instance_id, started_unix_ms),
                         "{}: {index}",
                         case.name
                     );
@@ -122,8 +122,8 @@
     ];
     for case in cases {
         let mut registration = Registration::new();
-        registration.alive("i-2", 200, Some(1));
-        let is_applied = registration.leave(case.leave.0, case.leave.1);
+        registration.record_heartbeat("i-2", 200, Some(1));
+        let is_applied = registration.record_leave(case.leave.0, case.leave.1);
         assert_eq!(is_applied, case.is_applied, "{}", case.name);
     }
 }
