--- a/src/conf/check.rs
+++ b/src/conf/check.rs
@@ -1,4 +1,4 @@
-//! Checks operators' files and turns them into records.
+//! Validates operators' configuration files and converts them to records.
 
 use {
     super::{
@@ -13,32 +13,32 @@
     toml::Spanned,
 };
 
-/// Retries of a service that sets none.
+/// Retries per original request of a service that sets none.
 pub const DEFAULT_RETRIES: i64 = 1;
-/// Deadline of a service that sets none.
+/// Deadline, in milliseconds, of a service that sets none.
 pub const DEFAULT_DEADLINE_MS: i64 = 2_000;
-/// Key lease of a workspace that sets none.
+/// Key lease, in seconds, of a workspace that sets none.
 pub const DEFAULT_KEY_LEASE_S: i64 = 60;
 
-const RETRIES: RangeInclusive<i64> = 0..=10;
-const DEADLINES_MS: RangeInclusive<i64> = 1..=600_000;
-/// 0 stands for targets that are never cold.
-const COLD_RATES_PER_S: RangeInclusive<i64> = 0..=1_000_000;
-const RATES_PER_S: RangeInclusive<i64> = 1..=10_000_000;
-const BURSTS: RangeInclusive<i64> = 1..=100_000_000;
-const KEY_LEASES_S: RangeInclusive<i64> = 1..=86_400;
+const RETRY_COUNT_RANGE: RangeInclusive<i64> = 0..=10;
+const DEADLINE_RANGE_MS: RangeInclusive<i64> = 1..=600_000;
+/// 0: targets of the service are never cold.
+const COLD_RATE_RANGE_PER_S: RangeInclusive<i64> = 0..=1_000_000;
+const RATE_RANGE_PER_S: RangeInclusive<i64> = 1..=10_000_000;
+const BURST_COUNT_RANGE: RangeInclusive<i64> = 1..=100_000_000;
+const KEY_LEASE_RANGE_S: RangeInclusive<i64> = 1..=86_400;
 const MAX_NAME_BYTES: usize = 64;
 
-const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
+const KNOWN_METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
-/// What one file adds to the rules.
+/// Rules parsed from one file.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Part {
+pub(super) struct FileRules {
     pub(super) services: Vec<ServiceRecord>,
     pub(super) workspaces: Vec<WorkspaceRecord>,
 }
 
-impl Part {
+impl FileRules {
     pub(super) fn into_rules(self) -> RulesRecord {
         RulesRecord {
             services: self.services,
@@ -47,38 +47,41 @@
     }
 }
 
-/// Checks a service's file.
-pub(super) fn check_service(file: &str, text: &str) -> (Part, Vec<Problem>) {
+/// Parses and validates a service file.
+pub(super) fn check_service(file: &str, text: &str) -> (FileRules, Vec<Problem>) {
     let mut problems = FileProblems::new(file, text);
-    let mut part = Part::default();
-    if let Some(parsed) = parse::<ServiceFile>(text, &mut problems) {
-        part.services.push(service(&parsed, &mut problems));
+    let mut rules = FileRules::default();
+    if let Some(parsed) = parse_toml::<ServiceFile>(text, &mut problems) {
+        rules.services.push(parse_service(&parsed, &mut problems));
     }
-    (part, problems.into_found())
+    (rules, problems.into_problems())
 }
 
-/// Checks `workspaces.toml`.
-pub(super) fn check_workspaces(file: &str, text: &str) -> (Part, Vec<Problem>) {
+/// Parses and validates `workspaces.toml`.
+pub(super) fn check_workspaces(file: &str, text: &str) -> (FileRules, Vec<Problem>) {
     let mut problems = FileProblems::new(file, text);
-    let mut part = Part::default();
-    if let Some(parsed) = parse::<WorkspacesFile>(text, &mut problems) {
+    let mut rules = FileRules::default();
+    if let Some(parsed) = parse_toml::<WorkspacesFile>(text, &mut problems) {
         for section in &parsed.workspaces {
-            let record = workspace(section, &mut problems);
-            if part
+            let record = parse_workspace(section, &mut problems);
+            if rules
                 .workspaces
                 .iter()
                 .any(|other| other.name == record.name)
             {
-                let message = format!("workspace {:?} stands twice: keep one", record.name);
+                let message = format!(
+                    "workspace {:?} is defined twice: keep one definition",
+                    record.name
+                );
                 problems.add(section.span().start, "name", message);
             }
-            part.workspaces.push(record);
+            rules.workspaces.push(record);
         }
     }
-    (part, problems.into_found())
+    (rules, problems.into_problems())
 }
 
-fn parse<T: DeserializeOwned>(text: &str, problems: &mut FileProblems<'_>) -> Option<T> {
+fn parse_toml<T: DeserializeOwned>(text: &str, problems: &mut FileProblems<'_>) -> Option<T> {
     match toml::from_str(text) {
         Ok(parsed) => Some(parsed),
         Err(error) => {
@@ -92,56 +95,55 @@
     }
 }
 
-fn service(file: &ServiceFile, problems: &mut FileProblems<'_>) -> ServiceRecord {
-    let retries = number(
+fn parse_service(file: &ServiceFile, problems: &mut FileProblems<'_>) -> ServiceRecord {
+    let retries = number_or_default(
         file.retries.as_ref(),
         "retries",
         DEFAULT_RETRIES,
-        &RETRIES,
+        &RETRY_COUNT_RANGE,
         problems,
     );
-    let deadline_ms = number(
+    let deadline_ms = number_or_default(
         file.deadline_ms.as_ref(),
         "deadline_ms",
         DEFAULT_DEADLINE_MS,
-        &DEADLINES_MS,
+        &DEADLINE_RANGE_MS,
         problems,
     );
-    let cold_rate_per_s = number(
+    let cold_rate_per_s = number_or_default(
         file.cold_rate_per_s.as_ref(),
         "cold_rate_per_s",
         0,
-        &COLD_RATES_PER_S,
+        &COLD_RATE_RANGE_PER_S,
         problems,
     );
     let mut routes: Vec<RouteRecord> = Vec::new();
     for section in &file.routes {
-        let record = route(section, deadline_ms, problems);
-        note_shadowed(&record, &routes, section.span().start, problems);
+        let record = parse_route(section, deadline_ms, problems);
+        report_shadowed_route(&record, &routes, section.span().start, problems);
         routes.push(record);
     }
     if routes.is_empty() {
-        let message = "no [[route]]: give at least one, or no request is served".to_owned();
+        let message = "no [[route]]: add at least one, or all requests are rejected".to_owned();
         problems.add(0, "route", message);
     }
     ServiceRecord {
-        name: name(file.service.as_ref(), "service", 0, problems),
+        name: required_name(file.service.as_ref(), "service", 0, problems),
         retry_limit: u8::try_from(retries).unwrap_or(0),
         cold_rate_per_s: u32::try_from(cold_rate_per_s).unwrap_or(0),
         routes,
     }
 }
 
-// A route behind one that matches everything it matches is dead text: the
-// operator believes its class or its `repeatable = false` to be in force, and
-// it is not. Nothing at run time would show it.
-fn note_shadowed(
+// A route that an earlier one covers never matches, so its class and
+// `repeatable = false` have no effect. Nothing at run time would reveal this.
+fn report_shadowed_route(
     record: &RouteRecord,
     earlier: &[RouteRecord],
     offset: usize,
     problems: &mut FileProblems<'_>,
 ) {
-    let shadow = earlier.iter().position(|other| {
+    let covering_index = earlier.iter().position(|other| {
         let methods_covered = other.methods.is_empty()
             || !record.methods.is_empty()
                 && record
@@ -150,9 +152,9 @@
                     .all(|method| other.methods.contains(method));
         methods_covered && covers(&other.path, &record.path)
     });
-    if let Some(index) = shadow {
+    if let Some(index) = covering_index {
         let message = format!(
-            "{:?} can never match, since route {} ({:?}) matches all of it: put it before that one",
+            "{:?} can never match, because route {} ({:?}) matches every path it matches: move it before that route",
             record.path.join("/"),
             index + 1,
             earlier[index].path.join("/"),
@@ -161,35 +163,35 @@
     }
 }
 
-fn route(
+fn parse_route(
     section: &Spanned<RouteSection>,
     service_deadline_ms: i64,
     problems: &mut FileProblems<'_>,
 ) -> RouteRecord {
     let offset = section.span().start;
     let section = section.get_ref();
-    let deadline_ms = number(
+    let deadline_ms = number_or_default(
         section.deadline_ms.as_ref(),
         "deadline_ms",
         service_deadline_ms,
-        &DEADLINES_MS,
+        &DEADLINE_RANGE_MS,
         problems,
     );
     let record = RouteRecord {
-        methods: methods(section, problems),
-        path: path(section, offset, problems),
-        class: class(section, offset, problems),
+        methods: parse_methods(section, problems),
+        path: parse_path_field(section, offset, problems),
+        class: parse_class(section, offset, problems),
         repeatable: section
             .repeatable
             .as_ref()
-            .is_some_and(|set| *set.get_ref()),
+            .is_some_and(|value| *value.get_ref()),
         deadline_ms: u32::try_from(deadline_ms).unwrap_or(1),
     };
-    note_contradictions(&record, section, offset, problems);
+    report_contradictions(&record, section, offset, problems);
     record
 }
 
-fn note_contradictions(
+fn report_contradictions(
     record: &RouteRecord,
     section: &RouteSection,
     offset: usize,
@@ -198,31 +200,35 @@
     let offset = section
         .repeatable
         .as_ref()
-        .map_or(offset, |set| set.span().start);
+        .map_or(offset, |value| value.span().start);
     if record.repeatable && record.methods.is_empty() {
-        let message = "repeatable = true needs methods: name those that may be executed again";
+        let message =
+            "repeatable = true needs methods: list the methods that may be executed again";
         problems.add(offset, "repeatable", message.to_owned());
     }
     let has_class = section.class.is_some();
     if !record.repeatable && has_class && record.class == Class::Browse {
-        let message = "a route that is not repeatable is shed first in class browse: \
+        let message = "class browse is shed first and needs a repeatable route: \
                        set repeatable = true, or class standard or critical";
         problems.add(offset, "repeatable", message.to_owned());
     }
 }
 
-fn methods(section: &RouteSection, problems: &mut FileProblems<'_>) -> Vec<String> {
+fn parse_methods(section: &RouteSection, problems: &mut FileProblems<'_>) -> Vec<String> {
     let Some(methods) = &section.methods else {
         return Vec::new();
     };
     let mut names: Vec<String> = Vec::new();
     for method in methods {
         let name = method.get_ref();
-        if !METHODS.contains(&name.as_str()) {
-            let message = format!("unknown method {name:?}: expected {}", METHODS.join(", "));
+        if !KNOWN_METHODS.contains(&name.as_str()) {
+            let message = format!(
+                "unknown method {name:?}: expected {}",
+                KNOWN_METHODS.join(", ")
+            );
             problems.add(method.span().start, "methods", message);
         } else if names.contains(name) {
-            let message = format!("method {name} stands twice: keep one");
+            let message = format!("method {name} is listed twice: keep one");
             problems.add(method.span().start, "methods", message);
         }
         names.push(name.clone());
@@ -230,9 +236,14 @@
     names
 }
 
-fn path(section: &RouteSection, offset: usize, problems: &mut FileProblems<'_>) -> Vec<String> {
+fn parse_path_field(
+    section: &RouteSection,
+    offset: usize,
+    problems: &mut FileProblems<'_>,
+) -> Vec<String> {
     let Some(path) = &section.path else {
-        let message = "missing: give the path below the service, such as \"prices/*\"".to_owned();
+        let message =
+            "missing: give the path relative to the service, such as \"prices/*\"".to_owned();
         problems.add(offset, "path", message);
         return Vec::new();
     };
@@ -245,7 +256,7 @@
     }
 }
 
-fn class(section: &RouteSection, offset: usize, problems: &mut FileProblems<'_>) -> Class {
+fn parse_class(section: &RouteSection, offset: usize, problems: &mut FileProblems<'_>) -> Class {
     let Some(class) = &section.class else {
         let message = "missing: expected browse, standard or critical".to_owned();
         problems.add(offset, "class", message);
@@ -258,37 +269,43 @@
     })
 }
 
-fn workspace(
+fn parse_workspace(
     section: &Spanned<WorkspaceSection>,
     problems: &mut FileProblems<'_>,
 ) -> WorkspaceRecord {
     let offset = section.span().start;
     let section = section.get_ref();
-    let rate = required(
+    let rate_per_s = required_number(
         section.rate_per_s.as_ref(),
         "rate_per_s",
         offset,
-        &RATES_PER_S,
+        &RATE_RANGE_PER_S,
+        problems,
+    );
+    let burst_count = required_number(
+        section.burst.as_ref(),
+        "burst",
+        offset,
+        &BURST_COUNT_RANGE,
         problems,
     );
-    let burst = required(section.burst.as_ref(), "burst", offset, &BURSTS, problems);
-    let lease_s = number(
+    let key_lease_s = number_or_default(
         section.key_lease_s.as_ref(),
         "key_lease_s",
         DEFAULT_KEY_LEASE_S,
-        &KEY_LEASES_S,
+        &KEY_LEASE_RANGE_S,
         problems,
     );
     WorkspaceRecord {
-        name: name(section.name.as_ref(), "name", offset, problems),
-        rate_per_s: u32::try_from(rate).unwrap_or(1),
-        burst_count: u32::try_from(burst).unwrap_or(1),
-        regions: regions(section, problems),
-        key_lease_ms: u64::try_from(lease_s).unwrap_or(1) * 1_000,
+        name: required_name(section.name.as_ref(), "name", offset, problems),
+        rate_per_s: u32::try_from(rate_per_s).unwrap_or(1),
+        burst_count: u32::try_from(burst_count).unwrap_or(1),
+        regions: parse_regions(section, problems),
+        key_lease_ms: u64::try_from(key_lease_s).unwrap_or(1) * 1_000,
     }
 }
 
-fn required(
+fn required_number(
     value: Option<&Spanned<i64>>,
     field: &str,
     offset: usize,
@@ -299,18 +316,18 @@
         let message = format!("missing: expected {} to {}", range.start(), range.end());
         problems.add(offset, field, message);
     }
-    number(value, field, *range.start(), range, problems)
+    number_or_default(value, field, *range.start(), range, problems)
 }
 
-fn regions(section: &WorkspaceSection, problems: &mut FileProblems<'_>) -> Vec<String> {
+fn parse_regions(section: &WorkspaceSection, problems: &mut FileProblems<'_>) -> Vec<String> {
     let regions = section.regions.as_deref().unwrap_or_default();
-    let named = regions.iter();
-    named
-        .map(|region| name(Some(region), "regions", region.span().start, problems))
+    let values = regions.iter();
+    values
+        .map(|region| required_name(Some(region), "regions", region.span().start, problems))
         .collect()
 }
 
-fn number(
+fn number_or_default(
     value: Option<&Spanned<i64>>,
     field: &str,
     default: i64,
@@ -333,7 +350,7 @@
     default
 }
 
-fn name(
+fn required_name(
     value: Option<&Spanned<String>>,
     field: &str,
     offset: usize,
@@ -344,8 +361,8 @@
         return String::new();
     };
     let name = value.get_ref();
-    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(is_allowed) {
+    let is_allowed_char = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(is_allowed_char) {
         let message =
             format!("{name:?}: expected 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' or '.'");
         problems.add(value.span().start, field, message);
--- a/src/conf/collect.rs
+++ b/src/conf/collect.rs
@@ -1,12 +1,12 @@
-//! Collects the files of a directory tree.
+//! Finds and checks the configuration files of a directory tree.
 //!
-//! All `*.toml` files of the directory itself count, and those named
-//! `dogwood.toml` in the directories below, where they stand beside a
-//! service's code.
+//! Reads every `*.toml` file in the directory itself, and files named
+//! `dogwood.toml` in its subdirectories, where services keep them next to
+//! their code.
 
 use {
     super::{
-        check::{Part, check_service, check_workspaces},
+        check::{FileRules, check_service, check_workspaces},
         problem::Problem,
         record::RulesRecord,
     },
@@ -18,12 +18,13 @@
 
 /// File that lists the workspaces.
 pub const WORKSPACES_FILE: &str = "workspaces.toml";
-/// Name of service files in the directories below the collected one.
+/// Name of service files in subdirectories.
 pub const SERVICE_FILE: &str = "dogwood.toml";
 
+/// Subdirectories are searched down to this depth.
 const MAX_DEPTH: usize = 8;
 
-/// Files that cannot be published.
+/// Why the files cannot be published.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     /// A directory or file cannot be read.
@@ -31,78 +32,92 @@
     Unreadable {
         /// The directory or file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The files have problems.
+    /// The files have these problems.
     #[error("{} problem(s) in the files; nothing was published", .0.len())]
     Problems(Vec<Problem>),
 }
 
-/// Reads and checks all files; reports all problems at once.
+/// Reads and checks all files. An error lists all problems, sorted by file and line.
 pub fn check_dir(dir: &Path) -> Result<RulesRecord, CheckError> {
     let mut paths = Vec::new();
     find_files(dir, 0, &mut paths)?;
     paths.sort();
-    let mut whole = Part::default();
+    let mut all_rules = FileRules::default();
     let mut problems = Vec::new();
     for path in paths {
-        let text = read(&path)?;
+        let text = read_file(&path)?;
         let file = path
             .strip_prefix(dir)
             .unwrap_or(&path)
             .display()
             .to_string();
-        let is_workspaces = path.file_name().is_some_and(|name| name == WORKSPACES_FILE);
-        let (part, found) = if is_workspaces {
+        let is_workspaces_file = path.file_name().is_some_and(|name| name == WORKSPACES_FILE);
+        let (file_rules, file_problems) = if is_workspaces_file {
             check_workspaces(&file, &text)
         } else {
             check_service(&file, &text)
         };
-        problems.extend(found);
-        add(&file, part, &mut whole, &mut problems);
+        problems.extend(file_problems);
+        add_file_rules(&file, file_rules, &mut all_rules, &mut problems);
     }
-    note_missing(&whole, &problems.clone(), &mut problems);
+    report_missing_files(&all_rules, &problems.clone(), &mut problems);
     if !problems.is_empty() {
         problems.sort();
         return Err(CheckError::Problems(problems));
     }
-    whole.services.sort_by(|a, b| a.name.cmp(&b.name));
-    whole.workspaces.sort_by(|a, b| a.name.cmp(&b.name));
-    Ok(whole.into_rules())
+    all_rules.services.sort_by(|a, b| a.name.cmp(&b.name));
+    all_rules.workspaces.sort_by(|a, b| a.name.cmp(&b.name));
+    Ok(all_rules.into_rules())
 }
 
-fn add(file: &str, part: Part, whole: &mut Part, problems: &mut Vec<Problem>) {
-    for service in part.services {
-        let is_known = whole
+fn add_file_rules(
+    file: &str,
+    file_rules: FileRules,
+    all_rules: &mut FileRules,
+    problems: &mut Vec<Problem>,
+) {
+    for service in file_rules.services {
+        let is_defined = all_rules
             .services
             .iter()
             .any(|other| other.name == service.name);
-        if is_known && !service.name.is_empty() {
+        if is_defined && !service.name.is_empty() {
             let message = format!(
-                "service {:?} has another file already: keep one",
+                "service {:?} is already defined in another file: keep one",
                 service.name
             );
-            problems.push(problem(file, 1, "service", message));
+            problems.push(new_problem(file, 1, "service", message));
         }
-        whole.services.push(service);
+        all_rules.services.push(service);
     }
-    whole.workspaces.extend(part.workspaces);
+    all_rules.workspaces.extend(file_rules.workspaces);
 }
 
-fn note_missing(whole: &Part, found: &[Problem], problems: &mut Vec<Problem>) {
-    let concerns_workspaces = |problem: &Problem| problem.file.ends_with(WORKSPACES_FILE);
-    if whole.workspaces.is_empty() && !found.iter().any(concerns_workspaces) {
-        let message = "no workspace: give at least one [[workspace]], or no key can be granted";
-        problems.push(problem(WORKSPACES_FILE, 0, "workspace", message.to_owned()));
+fn report_missing_files(
+    all_rules: &FileRules,
+    file_problems: &[Problem],
+    problems: &mut Vec<Problem>,
+) {
+    let is_in_workspaces_file = |problem: &Problem| problem.file.ends_with(WORKSPACES_FILE);
+    if all_rules.workspaces.is_empty() && !file_problems.iter().any(is_in_workspaces_file) {
+        let message = "no workspace: add at least one [[workspace]], or no key can be granted";
+        problems.push(new_problem(
+            WORKSPACES_FILE,
+            0,
+            "workspace",
+            message.to_owned(),
+        ));
     }
-    if whole.services.is_empty() && found.iter().all(concerns_workspaces) {
-        let message = "no service file: give one .toml file for each service";
-        problems.push(problem(".", 0, "service", message.to_owned()));
+    if all_rules.services.is_empty() && file_problems.iter().all(is_in_workspaces_file) {
+        let message = "no service file: add one .toml file per service";
+        problems.push(new_problem(".", 0, "service", message.to_owned()));
     }
 }
 
-fn problem(file: &str, line: usize, field: &str, message: String) -> Problem {
+fn new_problem(file: &str, line: usize, field: &str, message: String) -> Problem {
     Problem {
         file: file.to_owned(),
         line,
@@ -111,11 +126,11 @@
     }
 }
 
-fn read(path: &Path) -> Result<String, CheckError> {
-    fs::read_to_string(path).map_err(|source| unreadable(path, source))
+fn read_file(path: &Path) -> Result<String, CheckError> {
+    fs::read_to_string(path).map_err(|source| unreadable_error(path, source))
 }
 
-fn unreadable(path: &Path, source: io::Error) -> CheckError {
+fn unreadable_error(path: &Path, source: io::Error) -> CheckError {
     CheckError::Unreadable {
         path: path.to_owned(),
         source,
@@ -123,9 +138,11 @@
 }
 
 fn find_files(dir: &Path, depth: usize, paths: &mut Vec<PathBuf>) -> Result<(), CheckError> {
-    let entries = fs::read_dir(dir).map_err(|source| unreadable(dir, source))?;
+    let entries = fs::read_dir(dir).map_err(|source| unreadable_error(dir, source))?;
     for entry in entries {
-        let path = entry.map_err(|source| unreadable(dir, source))?.path();
+        let path = entry
+            .map_err(|source| unreadable_error(dir, source))?
+            .path();
         let name = path
             .file_name()
             .unwrap_or_default()
--- a/src/conf/compile.rs
+++ b/src/conf/compile.rs
@@ -1,4 +1,4 @@
-//! Turns the published documents into their running form.
+//! Compiles published documents into the form that request handling uses.
 
 use {
     super::{
@@ -14,56 +14,56 @@
     std::collections::HashMap,
 };
 
-/// A document that cannot be put into force.
+/// A document that cannot be compiled.
 #[derive(Debug, thiserror::Error)]
 pub enum CompileError {
-    /// The configuration document cannot be read.
-    #[error("configuration version {version} cannot be read: {source}")]
+    /// The configuration document cannot be parsed.
+    #[error("configuration document version {version} is invalid: {source}")]
     Configuration {
-        /// Its version.
+        /// Version of the document.
         version: u64,
-        /// Why.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// The keys document cannot be read.
-    #[error("keys version {version} cannot be read: {source}")]
+    /// The keys document cannot be parsed.
+    #[error("keys document version {version} is invalid: {source}")]
     Keys {
-        /// Its version.
+        /// Version of the document.
         version: u64,
-        /// Why.
+        /// The parse error.
         source: KeysError,
     },
 }
 
 /// Compiles a configuration and the keys granted under it.
 ///
-/// A key of a workspace that the configuration does not have stands for
-/// nothing.
+/// Keys granted to a workspace that the configuration does not define are
+/// ignored.
 pub fn compile(
     configuration: &Document,
     keys: Option<&Document>,
     names: &Names,
 ) -> Result<Running, CompileError> {
     let record = read_configuration(configuration)?;
-    let mut running = Running {
+    let mut compiled = Running {
         revision: configuration.version,
         ..Running::default()
     };
     for service in record.rules.services {
-        add_service(service, names, &mut running);
+        add_service(service, names, &mut compiled);
     }
     let mut workspaces = HashMap::new();
     for workspace in record.rules.workspaces {
-        let key = add_workspace(&workspace, names, &mut running);
+        let key = add_workspace(&workspace, names, &mut compiled);
         workspaces.insert(workspace.name, key);
     }
     if let Some(keys) = keys {
-        add_keys(keys, &workspaces, &mut running)?;
+        add_keys(keys, &workspaces, &mut compiled)?;
     }
-    Ok(running)
+    Ok(compiled)
 }
 
-/// Reads a configuration document.
+/// Parses a configuration document.
 pub fn read_configuration(document: &Document) -> Result<ConfigurationRecord, CompileError> {
     serde_json::from_slice(&document.content).map_err(|source| CompileError::Configuration {
         version: document.version,
@@ -71,7 +71,7 @@
     })
 }
 
-fn add_service(record: ServiceRecord, names: &Names, running: &mut Running) {
+fn add_service(record: ServiceRecord, names: &Names, compiled: &mut Running) {
     let service = names.service(&record.name);
     let rules = ServiceRules {
         service,
@@ -79,14 +79,14 @@
         routes: record.routes.into_iter().map(RouteRules::from).collect(),
     };
     if record.cold_rate_per_s > 0 {
-        let rate_per_s = record.cold_rate_per_s;
-        running.cold_rates_per_s.insert(service, rate_per_s);
+        let cold_rate_per_s = record.cold_rate_per_s;
+        compiled.cold_rates_per_s.insert(service, cold_rate_per_s);
     }
-    running.service_names.insert(record.name, service);
-    running.services.insert(service, rules);
+    compiled.service_names.insert(record.name, service);
+    compiled.services.insert(service, rules);
 }
 
-fn add_workspace(record: &WorkspaceRecord, names: &Names, running: &mut Running) -> WorkspaceKey {
+fn add_workspace(record: &WorkspaceRecord, names: &Names, compiled: &mut Running) -> WorkspaceKey {
     let workspace = names.workspace(&record.name);
     let rules = WorkspaceRules {
         workspace,
@@ -98,15 +98,15 @@
         },
         key_lease_ms: record.key_lease_ms,
     };
-    running.restricts_regions |= !record.regions.is_empty();
-    running.workspaces.insert(workspace, rules);
+    compiled.restricts_regions |= !record.regions.is_empty();
+    compiled.workspaces.insert(workspace, rules);
     workspace
 }
 
 fn add_keys(
     document: &Document,
     workspaces: &HashMap<String, WorkspaceKey>,
-    running: &mut Running,
+    compiled: &mut Running,
 ) -> Result<(), CompileError> {
     let keys = KeysRecord::read(&document.content).map_err(|source| CompileError::Keys {
         version: document.version,
@@ -114,11 +114,11 @@
     })?;
     for grant in keys.granted {
         if let Some(workspace) = workspaces.get(&grant.workspace) {
-            running.granted.insert(grant.digest, *workspace);
+            compiled.granted.insert(grant.digest, *workspace);
         }
     }
     let revoked = keys.revoked.iter().map(|revocation| revocation.digest);
-    running.revoked.extend(revoked);
+    compiled.revoked.extend(revoked);
     Ok(())
 }
 
--- a/src/conf/evacuations.rs
+++ b/src/conf/evacuations.rs
@@ -1,4 +1,4 @@
-//! Availability zones that operators have evacuated.
+//! Evacuated availability zones, read from the evacuations document.
 
 use {
     crate::{
@@ -11,16 +11,16 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// Zones whose targets get no work until the evacuation is taken back.
+/// Zones whose targets receive no requests until the evacuation is revoked.
 #[derives::record]
 #[derive(Eq, Default)]
 pub struct Evacuations {
-    /// Names of the zones.
+    /// Zone names.
     pub zones: BTreeSet<String>,
 }
 
 impl Evacuations {
-    /// Reads a document's content; there is none before the first evacuation.
+    /// Parses the content of a document; it is empty before the first evacuation.
     pub fn read(content: &[u8]) -> serde_json::Result<Self> {
         if content.is_empty() {
             return Ok(Self::default());
@@ -28,10 +28,10 @@
         serde_json::from_slice(content)
     }
 
-    /// Content of a document.
+    /// Serializes to the content of a document.
     #[must_use]
     pub fn write(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("names of zones are plain text")
+        serde_json::to_vec(self).expect("zone names serialize to JSON")
     }
 
     /// Whether the zone is evacuated.
@@ -41,8 +41,8 @@
     }
 }
 
-/// Starts the task that puts each new document into force; no zone is evacuated
-/// until there is one.
+/// Starts the task that puts each new evacuations document into force. No zone
+/// is evacuated until the first document arrives.
 #[must_use]
 pub fn spawn_evacuations(
     store: &DocumentStore,
--- a/src/conf/file.rs
+++ b/src/conf/file.rs
@@ -1,43 +1,43 @@
-//! The files that operators write, as they stand.
+//! TOML structure of the files that operators write.
 //!
-//! Every field is optional here, and numbers are signed, so that the check
-//! can report all problems of a file at once instead of the first one.
+//! Every field is optional and numbers are signed, so that validation can
+//! report all problems of a file at once instead of only the first.
 
 use {serde::Deserialize, toml::Spanned};
 
-/// A service's file.
+/// A service file.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceFile {
-    /// Name of the service, as in request paths and announcements.
+    /// Name of the service, as in request paths and target announcements.
     pub service: Option<Spanned<String>>,
-    /// Retries for one original request that enters at this service.
+    /// Retries per original request that enters at this service.
     pub retries: Option<Spanned<i64>>,
     /// Deadline of routes that set none.
     pub deadline_ms: Option<Spanned<i64>>,
-    /// Requests a second that a target bears while it is cold; without it,
+    /// Sustainable rate of a cold target, in requests per second; when absent,
     /// targets are never cold.
     pub cold_rate_per_s: Option<Spanned<i64>>,
-    /// Routes, the first match counts.
+    /// Routes; the first match applies.
     #[serde(default, rename = "route")]
     pub routes: Vec<Spanned<RouteSection>>,
 }
 
-/// A `[[route]]` of a service's file.
+/// A `[[route]]` of a service file.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSection {
-    /// Methods that match; all when absent.
+    /// HTTP methods that match; all when absent.
     pub methods: Option<Vec<Spanned<String>>>,
-    /// Path below the service; `*` matches one segment, a trailing `**` the
-    /// rest.
+    /// Path relative to the service; `*` matches one segment, a trailing `**`
+    /// the rest.
     pub path: Option<Spanned<String>>,
     /// `browse`, `standard` or `critical`.
     pub class: Option<Spanned<String>>,
-    /// Whether it may be executed again after an unknown outcome; not when
-    /// absent.
+    /// Whether a request may be executed again after an unknown outcome; false
+    /// when absent.
     pub repeatable: Option<Spanned<bool>>,
-    /// Deadline when the caller gives none; also the longest one accepted.
+    /// Deadline in milliseconds when the caller sets none, and the maximum.
     pub deadline_ms: Option<Spanned<i64>>,
 }
 
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspacesFile {
-    /// Workspaces.
+    /// The `[[workspace]]` sections.
     #[serde(default, rename = "workspace")]
     pub workspaces: Vec<Spanned<WorkspaceSection>>,
 }
@@ -58,11 +58,11 @@
     pub regions: Option<Vec<Spanned<String>>>,
     /// Name of the workspace.
     pub name: Option<Spanned<String>>,
-    /// Requests a second over the whole fleet.
+    /// Requests per second over the whole fleet.
     pub rate_per_s: Option<Spanned<i64>>,
-    /// Requests at once after a pause, over the whole fleet.
+    /// Burst size in requests, over the whole fleet.
     pub burst: Option<Spanned<i64>>,
-    /// How long its keys go on working in an availability zone that is cut
-    /// off.
+    /// Seconds for which its keys remain valid in an availability zone that is
+    /// cut off.
     pub key_lease_s: Option<Spanned<i64>>,
 }
--- a/src/conf/hosts.rs
+++ b/src/conf/hosts.rs
@@ -1,4 +1,4 @@
-//! Routes that are chosen by host and path prefix.
+//! Routes selected by host and path prefix.
 
 use {
     super::{Running, WorkspaceRules},
@@ -11,78 +11,78 @@
     std::collections::HashMap,
 };
 
-/// A configuration whose routes are chosen by host and path prefix, as an
-/// adapter decoded it.
+/// A configuration with routes selected by host and path prefix, as decoded by
+/// an adapter.
 #[derives::value]
 #[derive(Default)]
 pub struct HostedConfiguration {
-    /// Rises with each configuration that operators put into force.
+    /// Increases with each configuration that operators put into force.
     pub version: u64,
     /// Routes.
     pub routes: Vec<HostedRoute>,
-    /// Services that routes may lead to.
+    /// Services that routes may use as destinations.
     pub services: Vec<HostedService>,
-    /// Workspaces; where there are none, no request needs a key.
+    /// Workspaces; when empty, no request needs a key.
     pub workspaces: Vec<HostedWorkspace>,
 }
 
-/// A route by host and path prefix.
+/// A route selected by host and path prefix.
 #[derives::value]
 pub struct HostedRoute {
     /// Host, in lower case, without a port.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// Services that share the route's requests, with their weights.
+    /// Destination services with their weights.
     pub destinations: Vec<(String, u32)>,
-    /// Importance.
+    /// Class of its requests.
     pub class: Class,
-    /// Whether it may be executed again after an unknown outcome.
+    /// Whether a request may be executed again after an unknown outcome.
     pub repeatable: bool,
-    /// Targets that one request may be sent to, the first one included.
+    /// Maximum attempts per request, including the first.
     pub attempt_limit: u8,
-    /// Longest time until the final answer.
+    /// Maximum time until the final response, in milliseconds.
     pub timeout_ms: u32,
-    /// Answers within this time are of full use.
+    /// Response time, in milliseconds, up to which a response has its full value.
     pub aim_ms: u32,
-    /// Whether it is served without a key.
+    /// Whether requests without a key are accepted.
     pub is_open: bool,
     /// Regions in which its requests may run; empty for all.
     pub regions: Vec<String>,
 }
 
-/// A service that routes may lead to.
+/// A destination service of routes.
 #[derives::value]
 #[derive(Eq)]
 pub struct HostedService {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Requests a second that a cold target bears; 0 where targets are never
-    /// cold.
+    /// Sustainable rate of a cold target, in requests per second; 0: targets are
+    /// never cold.
     pub cold_rate_per_s: u32,
 }
 
 /// A workspace with its keys.
 #[derives::value]
 pub struct HostedWorkspace {
-    /// Name.
+    /// Name of the workspace.
     pub name: String,
-    /// Importance of the workspace, where operators ranked it.
+    /// Class of the workspace, if operators set one.
     pub class: Option<Class>,
-    /// Keys that stand for it.
+    /// Keys granted to the workspace, in plain text.
     pub keys: Vec<String>,
     /// Regions in which its requests may run; empty for all.
     pub regions: Vec<String>,
-    /// Requests a second over the whole fleet; 0 for no limit.
+    /// Requests per second over the whole fleet; 0 for no limit.
     pub rate_per_s: u32,
-    /// Requests at once after a pause.
+    /// Burst size in requests, over the whole fleet.
     pub burst_count: u32,
 }
 
-/// Routes by host, the longest prefix first.
+/// Routes by host, longest prefix first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HostRoutes {
-    by_host: HashMap<String, Vec<HostRoute>>,
+    routes_by_host: HashMap<String, Vec<HostRoute>>,
 }
 
 /// A compiled route.
@@ -90,53 +90,53 @@
 pub struct HostRoute {
     prefix: String,
     destinations: Vec<(ServiceKey, u32)>,
-    /// Importance.
+    /// Class of its requests.
     pub class: Class,
-    /// Whether it may be executed again after an unknown outcome.
+    /// Whether a request may be executed again after an unknown outcome.
     pub repeatable: bool,
-    /// Further targets that one request may be sent to.
+    /// Maximum retries per request.
     pub retry_limit: u8,
-    /// Longest time until the final answer.
+    /// Maximum time until the final response, in milliseconds.
     pub timeout_ms: u32,
-    /// Answers within this time are of full use.
+    /// Response time, in milliseconds, up to which a response has its full value.
     pub aim_ms: u32,
-    /// Whether it is served without a key.
+    /// Whether requests without a key are accepted.
     pub is_open: bool,
     /// Regions in which its requests may run.
     pub regions: RegionSet,
 }
 
 impl HostRoutes {
-    /// The route with the longest prefix of the path.
+    /// Returns the route with the longest prefix that matches the path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&HostRoute> {
-        let routes = self.by_host.get(host)?;
+        let routes = self.routes_by_host.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
     /// Number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.by_host.values().map(Vec::len).sum()
+        self.routes_by_host.values().map(Vec::len).sum()
     }
 
-    /// Whether there is none.
+    /// Whether there are no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.by_host.is_empty()
+        self.routes_by_host.is_empty()
     }
 }
 
 impl HostRoute {
-    /// One of the services, each as often as its weight says.
+    /// Picks a destination at random in proportion to the weights.
     pub fn draw_service<R: Rng>(&self, rng: &mut R) -> Option<ServiceKey> {
-        let total: u32 = self.destinations.iter().map(|(_, weight)| weight).sum();
-        let mut left = rng.random_range(0..total.max(1));
+        let total_weight: u32 = self.destinations.iter().map(|(_, weight)| weight).sum();
+        let mut remaining_weight = rng.random_range(0..total_weight.max(1));
         for (service, weight) in &self.destinations {
-            if left < *weight {
+            if remaining_weight < *weight {
                 return Some(*service);
             }
-            left -= weight;
+            remaining_weight -= weight;
         }
         self.destinations.first().map(|(service, _)| *service)
     }
@@ -144,35 +144,38 @@
 
 /// Compiles a decoded configuration.
 ///
-/// Keys are honoured for no longer than the node can confirm them: their lease
-/// without confirmation is 0.
+/// The key lease is 0: keys are accepted only while the node can confirm them.
 #[must_use]
 pub fn compile_hosted(configuration: &HostedConfiguration, names: &Names) -> Running {
-    let mut running = Running {
+    let mut compiled = Running {
         revision: configuration.version,
         ..Running::default()
     };
     for service in &configuration.services {
-        let key = names.service(&service.name);
-        running.service_names.insert(service.name.clone(), key);
+        let service_key = names.service(&service.name);
+        compiled
+            .service_names
+            .insert(service.name.clone(), service_key);
         if service.cold_rate_per_s > 0 {
-            let rate_per_s = service.cold_rate_per_s;
-            running.cold_rates_per_s.insert(key, rate_per_s);
+            let cold_rate_per_s = service.cold_rate_per_s;
+            compiled
+                .cold_rates_per_s
+                .insert(service_key, cold_rate_per_s);
         }
     }
     for workspace in &configuration.workspaces {
-        add_workspace(workspace, names, &mut running);
+        add_workspace(workspace, names, &mut compiled);
     }
-    let by_host = &mut running.hosts.by_host;
+    let routes_by_host = &mut compiled.hosts.routes_by_host;
     for route in &configuration.routes {
-        let routes = by_host.entry(route.host.clone()).or_default();
+        let routes = routes_by_host.entry(route.host.clone()).or_default();
         routes.push(compile_route(route, names));
     }
-    for routes in by_host.values_mut() {
+    for routes in routes_by_host.values_mut() {
         routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
     }
     let is_restricted = |regions: &[String]| !regions.is_empty();
-    running.restricts_regions = configuration
+    compiled.restricts_regions = configuration
         .routes
         .iter()
         .any(|route| is_restricted(&route.regions))
@@ -180,19 +183,19 @@
             .workspaces
             .iter()
             .any(|workspace| is_restricted(&workspace.regions));
-    running
+    compiled
 }
 
-/// A host as routes name it: in lower case, without a port.
+/// Converts a host to the form used in routes: lower case, without a port.
 #[must_use]
 pub fn plain_host(host: &str) -> String {
     host.split(':').next().unwrap_or(host).to_ascii_lowercase()
 }
 
-fn add_workspace(workspace: &HostedWorkspace, names: &Names, running: &mut Running) {
-    let key = names.workspace(&workspace.name);
+fn add_workspace(workspace: &HostedWorkspace, names: &Names, compiled: &mut Running) {
+    let workspace_key = names.workspace(&workspace.name);
     let rules = WorkspaceRules {
-        workspace: key,
+        workspace: workspace_key,
         class: workspace.class,
         regions: region_set(&workspace.regions, names),
         rate: Rate {
@@ -201,9 +204,11 @@
         },
         key_lease_ms: 0,
     };
-    running.workspaces.insert(key, rules);
-    for presented in &workspace.keys {
-        running.granted.insert(KeyDigest::of_key(presented), key);
+    compiled.workspaces.insert(workspace_key, rules);
+    for key in &workspace.keys {
+        compiled
+            .granted
+            .insert(KeyDigest::of_key(key), workspace_key);
     }
 }
 
--- a/src/conf/in_force.rs
+++ b/src/conf/in_force.rs
@@ -1,4 +1,4 @@
-//! Keeps the running configuration in step with the held documents.
+//! Compiles the stored documents and publishes the configuration in force.
 
 use {
     super::{Running, compile},
@@ -14,9 +14,10 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// Starts the task that puts documents and revocations into force.
+/// Starts the task that puts new documents and revocations into force.
 ///
-/// The receiver holds the default, revision 0, until there is a configuration.
+/// The receiver holds an empty configuration of revision 0 until the first
+/// configuration document arrives.
 #[must_use]
 pub fn spawn_in_force(
     store: &DocumentStore,
@@ -25,10 +26,10 @@
     shutdown: CancellationToken,
 ) -> watch::Receiver<Arc<Running>> {
     let (sender, receiver) = watch::channel(Arc::new(Running::default()));
-    let mut sources = Sources {
+    let mut sources = ConfigurationSources {
         configuration: store.subscribe(DocumentKind::Configuration),
         keys: store.subscribe(DocumentKind::Keys),
-        told: revocations.subscribe(),
+        pending_revocations: revocations.subscribe(),
     };
     let revocations = revocations.clone();
     tokio::spawn(async move {
@@ -36,25 +37,25 @@
             sources.put_into_force(&sender, &names, &revocations);
             tokio::select! {
                 () = shutdown.cancelled() => break,
-                changed = sources.changed() => if !changed { break },
+                has_changed = sources.wait_for_change() => if !has_changed { break },
             }
         }
     });
     receiver
 }
 
-struct Sources {
+struct ConfigurationSources {
     configuration: watch::Receiver<Option<Document>>,
     keys: watch::Receiver<Option<Document>>,
-    told: watch::Receiver<Arc<HashSet<KeyDigest>>>,
+    pending_revocations: watch::Receiver<Arc<HashSet<KeyDigest>>>,
 }
 
-impl Sources {
-    async fn changed(&mut self) -> bool {
+impl ConfigurationSources {
+    async fn wait_for_change(&mut self) -> bool {
         let changed = tokio::select! {
             changed = self.configuration.changed() => changed,
             changed = self.keys.changed() => changed,
-            changed = self.told.changed() => changed,
+            changed = self.pending_revocations.changed() => changed,
         };
         changed.is_ok()
     }
@@ -67,40 +68,43 @@
     ) {
         let configuration = self.configuration.borrow_and_update().clone();
         let keys = self.keys.borrow_and_update().clone();
-        let told = self.told.borrow_and_update().clone();
+        let pending_revocations = self.pending_revocations.borrow_and_update().clone();
         let Some(configuration) = configuration else {
             return;
         };
-        let earlier = sender.borrow().clone();
-        let mut running = match compile(&configuration, keys.as_ref(), names) {
-            Ok(running) => {
-                revocations.confirm(&running.revoked);
-                running
+        let previous = sender.borrow().clone();
+        let mut compiled = match compile(&configuration, keys.as_ref(), names) {
+            Ok(compiled) => {
+                revocations.confirm(&compiled.revoked);
+                compiled
             }
             Err(error) => {
                 event!(Event::ConfigurationRejected, "error={error}");
-                Running::clone(&earlier)
+                Running::clone(&previous)
             }
         };
-        // A document that lacks an earlier revocation (an operator's tool that
-        // wrote from an old copy) would bring a revoked key back to life; its
-        // holder would be served again. What this process has seen revoked
-        // stays so.
-        running.revoked.extend(earlier.revoked.iter().copied());
-        running.revoked.extend(told.iter().copied());
-        send_if_changed(sender, &earlier, running);
+        // A keys document written from an old copy may lack an earlier revocation,
+        // and the revoked key would be accepted again. A key that this process
+        // has seen revoked stays revoked.
+        compiled.revoked.extend(previous.revoked.iter().copied());
+        compiled.revoked.extend(pending_revocations.iter().copied());
+        publish_if_changed(sender, &previous, compiled);
     }
 }
 
-fn send_if_changed(sender: &watch::Sender<Arc<Running>>, earlier: &Running, running: Running) {
-    if running == *earlier {
+fn publish_if_changed(sender: &watch::Sender<Arc<Running>>, previous: &Running, compiled: Running) {
+    if compiled == *previous {
         return;
     }
-    if running.revision != earlier.revision {
-        event!(Event::ConfigurationInForce, "revision={}", running.revision);
+    if compiled.revision != previous.revision {
+        event!(
+            Event::ConfigurationInForce,
+            "revision={}",
+            compiled.revision
+        );
     }
-    for digest in running.revoked.difference(&earlier.revoked) {
+    for digest in compiled.revoked.difference(&previous.revoked) {
         event!(Event::KeyRevoked, "digest={digest}");
     }
-    sender.send_replace(Arc::new(running));
+    sender.send_replace(Arc::new(compiled));
 }
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration: operators' files, the published document, its running form.
+//! Configuration: operators' files, the published document and its compiled form.
 
 mod check;
 mod collect;
@@ -38,78 +38,78 @@
     std::collections::{HashMap, HashSet},
 };
 
-/// Rules of a route.
+/// Compiled rules of a route.
 #[derives::value]
 #[derive(Eq)]
 pub struct RouteRules {
-    /// Methods that match; empty matches all.
+    /// HTTP methods that match; empty matches all.
     pub methods: Vec<String>,
-    /// Path below the service, `/`-separated; `*` matches one segment, a
-    /// trailing `**` matches the rest.
+    /// Segments of the path pattern, relative to the service; `*` matches one
+    /// segment, a trailing `**` the rest.
     pub path: Vec<String>,
-    /// Importance.
+    /// Class of its requests.
     pub class: Class,
-    /// Whether it may be executed again after an unknown outcome.
+    /// Whether a request may be executed again after an unknown outcome.
     pub repeatable: bool,
-    /// Deadline when the caller gives none; also the longest one accepted.
+    /// Deadline in milliseconds when the caller sets none, and the maximum.
     pub deadline_ms: u32,
 }
 
-/// Rules of a service.
+/// Compiled rules of a service.
 #[derives::value]
 #[derive(Eq)]
 pub struct ServiceRules {
     /// The service.
     pub service: ServiceKey,
-    /// Retries for one original request that enters at this service.
+    /// Retries per original request that enters at this service.
     pub retry_limit: u8,
-    /// Routes, the first match counts.
+    /// Routes; the first match applies.
     pub routes: Vec<RouteRules>,
 }
 
-/// Rules of a workspace.
+/// Compiled rules of a workspace.
 #[derives::value]
 #[derive(Eq)]
 pub struct WorkspaceRules {
     /// The workspace.
     pub workspace: WorkspaceKey,
-    /// Importance of the workspace, where operators ranked it.
+    /// Class of the workspace, if operators set one.
     pub class: Option<Class>,
     /// Regions in which its requests may run.
     pub regions: RegionSet,
     /// Rate and burst over the whole fleet.
     pub rate: Rate,
-    /// How long its keys go on working in an availability zone that is cut
-    /// off from the others and from the platform.
+    /// How long its keys remain valid in an availability zone that is cut off
+    /// from the other zones and from the platform.
     pub key_lease_ms: u64,
 }
 
-/// A revision of the configuration, ready for use.
+/// A compiled revision of the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Running {
-    /// Version of the platform's object; nodes only move to higher ones.
+    /// Version of the platform's object; a node only adopts higher versions.
     pub revision: u64,
     /// Services by key.
     pub services: HashMap<ServiceKey, ServiceRules>,
-    /// Routes by host and path prefix, where a deployment has such.
+    /// Routes by host and path prefix, if the deployment uses them.
     pub hosts: HostRoutes,
-    /// Service keys by the name in request paths.
+    /// Service keys by service name, as in request paths.
     pub service_names: HashMap<String, ServiceKey>,
-    /// Requests a second that a cold target of a service bears, where targets are
-    /// cold after their start.
+    /// Sustainable rates of cold targets, in requests per second, for services
+    /// whose targets start cold.
     pub cold_rates_per_s: HashMap<ServiceKey, u32>,
     /// Workspaces by key.
     pub workspaces: HashMap<WorkspaceKey, WorkspaceRules>,
-    /// Granted keys.
+    /// Granted keys and their workspaces.
     pub granted: HashMap<KeyDigest, WorkspaceKey>,
-    /// Revoked keys; only grows.
+    /// Revoked keys; never shrinks.
     pub revoked: HashSet<KeyDigest>,
-    /// Whether any route or workspace is restricted to regions.
+    /// Whether any route or workspace is restricted to certain regions.
     pub restricts_regions: bool,
 }
 
 impl Running {
-    /// The first route of the service that matches.
+    /// Returns the first matching route of the service.
     #[must_use]
     pub fn route(&self, service: ServiceKey, method: &str, path: &str) -> Option<&RouteRules> {
         let rules = self.services.get(&service)?;
@@ -119,22 +119,22 @@
             .find(|route| route.matches(method, path))
     }
 
-    /// Regions in which a request may run, by its workspace and by its route where
-    /// routes are chosen by host; both bind.
+    /// Returns the regions in which a request may run: those allowed by both its
+    /// workspace and, if routes are selected by host, its route.
     #[must_use]
     pub fn regions_of(&self, workspace: WorkspaceKey, host: Option<&str>, path: &str) -> RegionSet {
         if !self.restricts_regions {
             return RegionSet::ANY;
         }
-        let of_workspace = self.workspaces.get(&workspace).map(|rules| rules.regions);
-        let of_route =
+        let workspace_regions = self.workspaces.get(&workspace).map(|rules| rules.regions);
+        let route_regions =
             host.and_then(|host| Some(self.hosts.find(&plain_host(host), path)?.regions));
-        let [of_workspace, of_route] =
-            [of_workspace, of_route].map(|regions| regions.unwrap_or(RegionSet::ANY));
-        of_workspace.intersection(of_route)
+        let [workspace_regions, route_regions] =
+            [workspace_regions, route_regions].map(|regions| regions.unwrap_or(RegionSet::ANY));
+        workspace_regions.intersection(route_regions)
     }
 
-    /// What a key is worth. A revocation outweighs every grant.
+    /// Returns the state of a key. A revocation overrides any grant.
     #[must_use]
     pub fn key_state(&self, digest: &KeyDigest) -> KeyState {
         if self.revoked.contains(digest) {
@@ -147,10 +147,11 @@
 }
 
 impl RouteRules {
-    /// Whether the route matches this method and path below the service.
+    /// Whether the route matches the method and the path relative to the service.
     #[must_use]
     pub fn matches(&self, method: &str, path: &str) -> bool {
-        let method_matches = self.methods.is_empty() || self.methods.iter().any(|m| m == method);
+        let method_matches =
+            self.methods.is_empty() || self.methods.iter().any(|allowed| allowed == method);
         method_matches && self.path_matches(path)
     }
 
--- a/src/conf/path.rs
+++ b/src/conf/path.rs
@@ -1,31 +1,33 @@
 //! Path patterns of routes.
 
-/// Matches one segment.
+/// Matches exactly one segment.
 const ANY_SEGMENT: &str = "*";
-/// Matches the rest of a path, also when there is none.
+/// Matches the rest of a path, which may be empty.
 const ANY_REST: &str = "**";
 
-/// A path pattern that cannot be used.
+/// An invalid path pattern.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
-    /// `**` in front of other segments.
-    #[error("'**' stands for the rest of the path: put it last")]
+    /// `**` precedes other segments.
+    #[error("'**' matches the rest of the path: put it last")]
     RestNotLast,
-    /// A wildcard inside a segment.
-    #[error("{segment:?}: '*' stands for a whole segment: write \"*\" between slashes")]
+    /// A wildcard is only part of a segment.
+    #[error("{segment:?}: '*' matches a whole segment: write \"*\" between slashes")]
     PartialWildcard {
         /// The segment.
         segment: String,
     },
-    /// A segment that no request path can hold.
-    #[error("{segment:?}: a segment is made of printable characters without spaces, '?' or '#'")]
+    /// A segment that no request path can contain.
+    #[error(
+        "{segment:?}: a segment needs printable ASCII characters other than space, '?' and '#', and is not '.' or '..'"
+    )]
     BadSegment {
         /// The segment.
         segment: String,
     },
 }
 
-/// Splits a pattern into its segments; empty segments are dropped.
+/// Splits a pattern into its segments and ignores empty ones.
 pub fn parse_path(path: &str) -> Result<Vec<String>, PathError> {
     let segments: Vec<&str> = path
         .split('/')
@@ -52,8 +54,8 @@
     if segment.contains('*') {
         return Err(PathError::PartialWildcard { segment });
     }
-    let is_allowed = |c: char| c.is_ascii_graphic() && !matches!(c, '?' | '#');
-    if segment == "." || segment == ".." || !segment.chars().all(is_allowed) {
+    let is_allowed_char = |c: char| c.is_ascii_graphic() && !matches!(c, '?' | '#');
+    if segment == "." || segment == ".." || !segment.chars().all(is_allowed_char) {
         return Err(PathError::BadSegment { segment });
     }
     Ok(())
@@ -62,9 +64,9 @@
 /// Whether `outer` matches every path that `inner` matches.
 #[must_use]
 pub fn covers(outer: &[String], inner: &[String]) -> bool {
-    let mut rest = inner.iter();
+    let mut inner_segments = inner.iter();
     for pattern in outer {
-        match (pattern.as_str(), rest.next().map(String::as_str)) {
+        match (pattern.as_str(), inner_segments.next().map(String::as_str)) {
             (ANY_REST, _) => return true,
             (_, None | Some(ANY_REST)) => return false,
             (ANY_SEGMENT, Some(_)) => {}
@@ -72,5 +74,5 @@
             _ => return false,
         }
     }
-    rest.next().is_none()
+    inner_segments.next().is_none()
 }
--- a/src/conf/problem.rs
+++ b/src/conf/problem.rs
@@ -1,19 +1,19 @@
-//! Problems in operators' files.
+//! Problems found in operators' files.
 
 use std::fmt;
 
-/// One problem, with its place and what would be right.
+/// One problem, with its location and how to correct it.
 #[derives::record]
 #[derive(Eq, PartialOrd, Ord)]
 pub struct Problem {
-    /// File below the checked directory.
+    /// Path relative to the checked directory.
     pub file: String,
-    /// Line, counted from 1; 0 when the problem is about the whole file or
+    /// Line number from 1; 0 when the problem concerns the whole file or
     /// directory.
     pub line: usize,
-    /// Field, or the part of the file that is wrong.
+    /// Name of the field, or the invalid text.
     pub field: String,
-    /// What is wrong and what would be right.
+    /// What is wrong and what is expected.
     pub message: String,
 }
 
@@ -32,7 +32,7 @@
 pub(super) struct FileProblems<'a> {
     file: &'a str,
     text: &'a str,
-    found: Vec<Problem>,
+    problems: Vec<Problem>,
 }
 
 impl<'a> FileProblems<'a> {
@@ -40,26 +40,26 @@
         Self {
             file,
             text,
-            found: Vec::new(),
+            problems: Vec::new(),
         }
     }
 
-    /// Notes a problem at a byte offset of the file.
+    /// Adds a problem at a byte offset of the file.
     pub(super) fn add(&mut self, offset: usize, field: &str, message: String) {
-        self.found.push(Problem {
+        self.problems.push(Problem {
             file: self.file.to_owned(),
-            line: line_at(self.text, offset),
+            line: line_number(self.text, offset),
             field: field.to_owned(),
             message,
         });
     }
 
-    pub(super) fn into_found(self) -> Vec<Problem> {
-        self.found
+    pub(super) fn into_problems(self) -> Vec<Problem> {
+        self.problems
     }
 }
 
-fn line_at(text: &str, offset: usize) -> usize {
-    let before = &text.as_bytes()[..offset.min(text.len())];
-    1 + before.iter().filter(|byte| **byte == b'\n').count()
+fn line_number(text: &str, offset: usize) -> usize {
+    let preceding = &text.as_bytes()[..offset.min(text.len())];
+    1 + preceding.iter().filter(|byte| **byte == b'\n').count()
 }
--- a/src/conf/record.rs
+++ b/src/conf/record.rs
@@ -1,4 +1,4 @@
-//! The configuration document as it stands in the platform.
+//! The configuration document as stored in the platform.
 
 use {crate::model::Class, uuid::Uuid};
 
@@ -6,32 +6,32 @@
 #[derives::record]
 #[derive(Eq)]
 pub struct Publication {
-    /// Tells this publication from every other one; a lost answer is resolved
-    /// by reading it back.
+    /// Unique to this publication. When the response to a publish is lost,
+    /// reading the document back shows whether it was stored.
     pub publish_id: Uuid,
-    /// Who published.
+    /// Name of the publisher.
     pub publisher: String,
-    /// When, in milliseconds since the Unix epoch on the publisher's clock.
+    /// Publication time by the publisher's clock, in milliseconds since the Unix epoch.
     pub published_unix_ms: u64,
 }
 
-/// All that one publication puts into force.
+/// The content of a configuration document.
 #[derives::record]
 #[derive(Eq)]
 pub struct ConfigurationRecord {
-    /// Who published it.
+    /// Who published it, and when.
     pub publication: Publication,
-    /// Its content.
+    /// The published services and workspaces.
     pub rules: RulesRecord,
 }
 
-/// Services and workspaces, without who published them.
+/// Services and workspaces of a configuration.
 #[derives::record]
 #[derive(Eq, Default)]
 pub struct RulesRecord {
-    /// Services, by name.
+    /// Services, sorted by name.
     pub services: Vec<ServiceRecord>,
-    /// Workspaces, by name.
+    /// Workspaces, sorted by name.
     pub workspaces: Vec<WorkspaceRecord>,
 }
 
@@ -39,14 +39,15 @@
 #[derives::record]
 #[derive(Eq)]
 pub struct ServiceRecord {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Retries for one original request that enters here.
+    /// Retries per original request that enters at this service.
     pub retry_limit: u8,
-    /// Requests a second that a cold target bears; 0 where targets are never cold.
+    /// Sustainable rate of a cold target, in requests per second; 0: targets are
+    /// never cold.
     #[serde(default)]
     pub cold_rate_per_s: u32,
-    /// Routes, the first match counts.
+    /// Routes; the first match applies.
     pub routes: Vec<RouteRecord>,
 }
 
@@ -54,15 +55,15 @@
 #[derives::record]
 #[derive(Eq)]
 pub struct RouteRecord {
-    /// Methods that match; empty matches all.
+    /// HTTP methods that match; empty matches all.
     pub methods: Vec<String>,
-    /// Path below the service, in segments.
+    /// Path pattern relative to the service, split into segments.
     pub path: Vec<String>,
-    /// Importance.
+    /// Class of its requests.
     pub class: Class,
-    /// Whether it may be executed again after an unknown outcome.
+    /// Whether a request may be executed again after an unknown outcome.
     pub repeatable: bool,
-    /// Default and longest deadline.
+    /// Default and maximum deadline.
     pub deadline_ms: u32,
 }
 
@@ -70,15 +71,15 @@
 #[derives::record]
 #[derive(Eq)]
 pub struct WorkspaceRecord {
-    /// Name.
+    /// Name of the workspace.
     pub name: String,
     /// Regions in which its requests may run; empty for all.
     #[serde(default)]
     pub regions: Vec<String>,
-    /// Requests a second over the whole fleet.
+    /// Requests per second over the whole fleet.
     pub rate_per_s: u32,
-    /// Requests at once after a pause.
+    /// Burst size in requests, over the whole fleet.
     pub burst_count: u32,
-    /// How long its keys go on working in a zone that is cut off.
+    /// How long its keys remain valid in a zone that is cut off.
     pub key_lease_ms: u64,
 }
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -1,14 +1,13 @@
-//! Log lines on standard output, one JSON object each, by log4rs.
+//! Writes log lines to standard output through log4rs, one JSON object each.
 //!
-//! Their number is bounded for each event, and writing never blocks whoever
-//! logs: a reader of standard output that stops reading costs lines, not
-//! service.
+//! Lines are rate-limited per event, and logging never blocks the caller: if the
+//! reader of standard output stops, lines are dropped and requests continue.
 
-mod budget;
 mod line;
+mod rate_limit;
 mod writer;
 
-pub use {budget::LineBudget, line::json_line, writer::LineWriter};
+pub use {line::json_line, rate_limit::LineBudget, writer::LineWriter};
 
 use {
     log::Record,
@@ -23,25 +22,25 @@
     },
 };
 
-/// Logging could not be set up.
+/// Why logging could not be set up.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
-    /// The configuration of log4rs does not fit together.
+    /// The log4rs configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
-    /// A logger was set before.
+    /// A logger is already set.
     #[error(transparent)]
     Set(#[from] log::SetLoggerError),
-    /// The thread that writes could not be started.
-    #[error("the writer of log lines cannot start: {0}")]
+    /// The writer thread could not be started.
+    #[error("cannot start the log writer thread: {0}")]
     Writer(#[from] io::Error),
 }
 
-/// Sets up logging from this level on.
+/// Sets up logging of lines at this level and above.
 pub fn init(level: log::LevelFilter) -> Result<(), LoggingError> {
-    let appender = BoundedAppender {
-        started: Instant::now(),
-        budget: Mutex::new(LineBudget::new()),
+    let appender = RateLimitedAppender {
+        started_at: Instant::now(),
+        rate_limit: Mutex::new(LineBudget::new()),
         writer: LineWriter::spawn(io::stdout())?,
     };
     let config = Config::builder()
@@ -51,28 +50,31 @@
     Ok(())
 }
 
-/// Writes lines within their budgets.
+/// Writes lines within the rate limit.
 #[derive(Debug)]
-struct BoundedAppender {
-    started: Instant,
-    budget: Mutex<LineBudget>,
+struct RateLimitedAppender {
+    started_at: Instant,
+    rate_limit: Mutex<LineBudget>,
     writer: LineWriter,
 }
 
-impl Append for BoundedAppender {
+impl Append for RateLimitedAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let message = record.args().to_string();
-        let now_us = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX);
-        let verdict = {
-            let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-            budget.spend(line::name_of(&message), record.level(), now_us)
+        let now_us = u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
+        let decision = {
+            let mut rate_limit = self
+                .rate_limit
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            rate_limit.spend(line::event_name(&message), record.level(), now_us)
         };
-        if !verdict.is_written {
+        if !decision.should_write {
             return Ok(());
         }
-        let dropped_count = verdict.left_out_count + self.writer.take_dropped_count();
+        let suppressed_count = decision.suppressed_count + self.writer.take_dropped_count();
         self.writer
-            .write(json_line(record.level(), &message, dropped_count));
+            .write(json_line(record.level(), &message, suppressed_count));
         Ok(())
     }
 
--- a/tests/conf.rs
+++ b/tests/conf.rs
@@ -1,4 +1,4 @@
-//! Operators' files: what the check reports, what compiles, what stays in force.
+//! Validation and compilation of operators' files, and the configuration in force.
 
 use {
     dogwoodbridge::{
@@ -25,16 +25,16 @@
 const CATALOG: &str =
     "service = \"catalog\"\n[[route]]\npath = \"prices/*\"\nclass = \"standard\"\n";
 
-/// A directory of its own that goes with the test.
-struct Dir(PathBuf);
+/// Temporary directory, removed when dropped.
+struct TempDir(PathBuf);
 
-impl Dir {
+impl TempDir {
     fn new(files: &[(&str, &str)]) -> Self {
         let path = std::env::temp_dir().join(format!("dogwood-conf-{}", Uuid::new_v4()));
         fs::create_dir_all(&path).expect("the temporary directory is writable");
         for (name, text) in files {
             let file = path.join(name);
-            fs::create_dir_all(file.parent().expect("files stand in a directory"))
+            fs::create_dir_all(file.parent().expect("each file has a parent directory"))
                 .expect("the temporary directory is writable");
             fs::write(file, text).expect("the temporary directory is writable");
         }
@@ -42,14 +42,14 @@
     }
 }
 
-impl Drop for Dir {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn problems(files: &[(&str, &str)]) -> Vec<Problem> {
-    let dir = Dir::new(files);
+fn check_files(files: &[(&str, &str)]) -> Vec<Problem> {
+    let dir = TempDir::new(files);
     match check_dir(&dir.0) {
         Ok(_) => Vec::new(),
         Err(CheckError::Problems(problems)) => problems,
@@ -57,161 +57,161 @@
     }
 }
 
-/// A wrong line in the file of a service, and what the check says of it.
+/// A service file with one invalid line, and the problem expected for it.
 struct BadService {
     name: &'static str,
     text: &'static str,
     line: usize,
     field: &'static str,
-    says: &'static str,
+    expected_text: &'static str,
 }
 
 #[test]
-fn names_file_line_field_and_what_would_be_right() {
+fn problems_name_file_line_field_and_expected_value() {
     let cases = [
         BadService {
             name: "unknown field",
             text: "service = \"catalog\"\nretrys = 2\n",
             line: 2,
             field: "retrys",
-            says: "expected one of `service`, `retries`",
+            expected_text: "expected one of `service`, `retries`",
         },
         BadService {
-            name: "syntax",
+            name: "syntax error",
             text: "service = \"catalog\"\nretries = = 2\n",
             line: 2,
             field: "=",
-            says: "",
+            expected_text: "",
         },
         BadService {
-            name: "type",
+            name: "wrong type",
             text: "service = \"catalog\"\nretries = \"two\"\n",
             line: 2,
             field: "\"two\"",
-            says: "expected i64",
+            expected_text: "expected i64",
         },
         BadService {
             name: "retries out of range",
             text: "service = \"catalog\"\nretries = 11\n[[route]]\npath = \"a\"\nclass = \"standard\"\n",
             line: 2,
             field: "retries",
-            says: "expected 0 to 10",
+            expected_text: "expected 0 to 10",
         },
         BadService {
             name: "negative cold rate",
             text: "service = \"catalog\"\ncold_rate_per_s = -1\n[[route]]\npath = \"a\"\nclass = \"standard\"\n",
             line: 2,
             field: "cold_rate_per_s",
-            says: "expected 0 to 1000000",
+            expected_text: "expected 0 to 1000000",
         },
         BadService {
             name: "negative deadline",
             text: "service = \"catalog\"\n[[route]]\npath = \"a\"\nclass = \"standard\"\ndeadline_ms = -1\n",
             line: 5,
             field: "deadline_ms",
-            says: "expected 1 to 600000",
+            expected_text: "expected 1 to 600000",
         },
         BadService {
             name: "unknown class",
             text: "service = \"catalog\"\n[[route]]\npath = \"a\"\nclass = \"vital\"\n",
             line: 4,
             field: "class",
-            says: "expected browse, standard or critical",
+            expected_text: "expected browse, standard or critical",
         },
         BadService {
             name: "missing class",
             text: "service = \"catalog\"\n\n[[route]]\npath = \"a\"\n",
             line: 3,
             field: "class",
-            says: "expected browse, standard or critical",
+            expected_text: "expected browse, standard or critical",
         },
         BadService {
             name: "missing path",
             text: "service = \"catalog\"\n[[route]]\nclass = \"standard\"\n",
             line: 2,
             field: "path",
-            says: "give the path",
+            expected_text: "give the path",
         },
         BadService {
             name: "unknown method",
             text: "service = \"catalog\"\n[[route]]\npath = \"a\"\nclass = \"standard\"\nmethods = [\"GET\", \"FETCH\"]\n",
             line: 5,
             field: "methods",
-            says: "expected GET",
+            expected_text: "expected GET",
         },
         BadService {
-            name: "rest not last",
+            name: "** not last",
             text: "service = \"catalog\"\n[[route]]\npath = \"a/**/b\"\nclass = \"standard\"\n",
             line: 3,
             field: "path",
-            says: "put it last",
+            expected_text: "put it last",
         },
         BadService {
             name: "wildcard inside a segment",
             text: "service = \"catalog\"\n[[route]]\npath = \"a*/b\"\nclass = \"standard\"\n",
             line: 3,
             field: "path",
-            says: "between slashes",
+            expected_text: "between slashes",
         },
         BadService {
-            name: "route that can never match",
+            name: "route covered by an earlier one",
             text: "service = \"catalog\"\n[[route]]\npath = \"**\"\nclass = \"standard\"\n[[route]]\nmethods = [\"POST\"]\npath = \"orders\"\nclass = \"critical\"\n",
             line: 5,
             field: "route",
-            says: "can never match",
+            expected_text: "can never match",
         },
         BadService {
-            name: "unrepeatable and browse",
+            name: "unrepeatable route in class browse",
             text: "service = \"catalog\"\n[[route]]\npath = \"a\"\nclass = \"browse\"\nrepeatable = false\n",
             line: 5,
             field: "repeatable",
-            says: "critical",
+            expected_text: "critical",
         },
         BadService {
-            name: "repeatable whatever the method",
+            name: "repeatable without methods",
             text: "service = \"catalog\"\n[[route]]\npath = \"a\"\nclass = \"standard\"\nrepeatable = true\n",
             line: 5,
             field: "repeatable",
-            says: "needs methods",
+            expected_text: "needs methods",
         },
         BadService {
             name: "no route",
             text: "service = \"catalog\"\n",
             line: 1,
             field: "route",
-            says: "at least one",
+            expected_text: "at least one",
         },
         BadService {
             name: "no service name",
             text: "[[route]]\npath = \"a\"\nclass = \"standard\"\n",
             line: 1,
             field: "service",
-            says: "give a name",
+            expected_text: "give a name",
         },
         BadService {
-            name: "service name that no path can hold",
+            name: "service name that is invalid in a path",
             text: "service = \"cata/log\"\n[[route]]\npath = \"a\"\nclass = \"standard\"\n",
             line: 1,
             field: "service",
-            says: "letters",
+            expected_text: "letters",
         },
     ];
     for case in cases {
-        let found = problems(&[("catalog.toml", case.text), ("workspaces.toml", WORKSPACES)]);
+        let found = check_files(&[("catalog.toml", case.text), ("workspaces.toml", WORKSPACES)]);
         assert_eq!(found.len(), 1, "{}: {found:?}", case.name);
         let problem = &found[0];
         assert_eq!(problem.file, "catalog.toml", "{}", case.name);
         assert_eq!(problem.line, case.line, "{}: {problem}", case.name);
         assert_eq!(problem.field, case.field, "{}: {problem}", case.name);
         assert!(
-            problem.message.contains(case.says),
+            problem.message.contains(case.expected_text),
             "{}: {problem}",
             case.name
         );
     }
 }
 
-/// Wrong workspaces.
+/// A workspaces file with one invalid line, and the problem expected for it.
 struct BadWorkspaces {
     name: &'static str,
     text: &'static str,
@@ -220,10 +220,10 @@
 }
 
 #[test]
-fn checks_workspaces() {
+fn invalid_workspaces_are_reported() {
     let cases = [
         BadWorkspaces {
-            name: "twice",
+            name: "workspace defined twice",
             text: "[[workspace]]\nname = \"shop\"\nrate_per_s = 1\nburst = 1\n[[workspace]]\nname = \"shop\"\nrate_per_s = 1\nburst = 1\n",
             line: 5,
             field: "name",
@@ -241,14 +241,14 @@
             field: "burst",
         },
         BadWorkspaces {
-            name: "lease of two days",
+            name: "key lease of two days",
             text: "[[workspace]]\nname = \"shop\"\nrate_per_s = 1\nburst = 1\nkey_lease_s = 172800\n",
             line: 5,
             field: "key_lease_s",
         },
     ];
     for case in cases {
-        let found = problems(&[("catalog.toml", CATALOG), ("workspaces.toml", case.text)]);
+        let found = check_files(&[("catalog.toml", CATALOG), ("workspaces.toml", case.text)]);
         assert_eq!(found.len(), 1, "{}: {found:?}", case.name);
         assert_eq!(found[0].line, case.line, "{}: {}", case.name, found[0]);
         assert_eq!(found[0].field, case.field, "{}: {}", case.name, found[0]);
@@ -256,19 +256,19 @@
 }
 
 #[test]
-fn reports_all_problems_at_once() {
+fn all_problems_are_reported_together() {
     let catalog =
         "service = \"catalog\"\nretries = 99\n[[route]]\npath = \"a*\"\nclass = \"vital\"\n";
     let orders = "servce = \"orders\"\n";
     let workspaces = "[[workspace]]\nname = \"shop\"\nrate_per_s = 0\nburst = 0\n";
-    let found = problems(&[
+    let found = check_files(&[
         ("catalog.toml", catalog),
         ("orders.toml", orders),
         ("workspaces.toml", workspaces),
     ]);
-    let places: Vec<String> = found
+    let locations: Vec<String> = found
         .iter()
-        .map(|p| format!("{}:{}", p.file, p.line))
+        .map(|problem| format!("{}:{}", problem.file, problem.line))
         .collect();
     let expected = [
         "catalog.toml:2",
@@ -278,16 +278,16 @@
         "workspaces.toml:3",
         "workspaces.toml:4",
     ];
-    assert_eq!(places, expected, "{found:?}");
+    assert_eq!(locations, expected, "{found:?}");
 }
 
 #[test]
-fn finds_missing_and_doubled_files() {
-    let found = problems(&[("catalog.toml", CATALOG)]);
+fn missing_and_duplicate_files_are_reported() {
+    let found = check_files(&[("catalog.toml", CATALOG)]);
     assert_eq!((found.len(), found[0].field.as_str()), (1, "workspace"));
-    let found = problems(&[("workspaces.toml", WORKSPACES)]);
+    let found = check_files(&[("workspaces.toml", WORKSPACES)]);
     assert_eq!((found.len(), found[0].field.as_str()), (1, "service"));
-    let found = problems(&[
+    let found = check_files(&[
         ("catalog.toml", CATALOG),
         ("code/dogwood.toml", CATALOG),
         ("workspaces.toml", WORKSPACES),
@@ -298,93 +298,93 @@
 }
 
 #[test]
-fn collects_service_files_beside_the_code() {
-    let dir = Dir::new(&[
+fn service_files_in_subdirectories_are_collected() {
+    let dir = TempDir::new(&[
         ("workspaces.toml", WORKSPACES),
         ("services/catalog/dogwood.toml", CATALOG),
         ("services/catalog/Cargo.toml", "[package]\n"),
     ]);
-    let rules = check_dir(&dir.0).expect("the files are right");
+    let rules = check_dir(&dir.0).expect("the files are valid");
     assert_eq!(rules.services.len(), 1);
 }
 
 #[test]
-fn examples_pass_the_check() {
-    for firm in ["cascade-tally", "injectio"] {
+fn example_configurations_are_valid() {
+    for example in ["cascade-tally", "injectio"] {
         let dir = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("examples")
-            .join(firm);
-        let rules = check_dir(&dir).unwrap_or_else(|error| panic!("{firm}: {error:?}"));
+            .join(example);
+        let rules = check_dir(&dir).unwrap_or_else(|error| panic!("{example}: {error:?}"));
         assert_eq!(
             (rules.services.len(), rules.workspaces.len()),
             (4, 8),
-            "{firm}"
+            "{example}"
         );
     }
 }
 
-/// Whether one pattern matches all that another one does.
-struct Cover {
+/// Whether `outer` matches every path that `inner` matches.
+struct CoverCase {
     outer: &'static str,
     inner: &'static str,
     covered: bool,
 }
 
 #[test]
-fn knows_which_patterns_cover_others() {
+fn covers_reports_patterns_that_match_all_paths_of_another() {
     let cases = [
-        Cover {
+        CoverCase {
             outer: "**",
             inner: "",
             covered: true,
         },
-        Cover {
+        CoverCase {
             outer: "a/**",
             inner: "a",
             covered: true,
         },
-        Cover {
+        CoverCase {
             outer: "a/*",
             inner: "a/b",
             covered: true,
         },
-        Cover {
+        CoverCase {
             outer: "a/*",
             inner: "a/**",
             covered: false,
         },
-        Cover {
+        CoverCase {
             outer: "a/b",
             inner: "a/*",
             covered: false,
         },
-        Cover {
+        CoverCase {
             outer: "*/b",
             inner: "a/b",
             covered: true,
         },
-        Cover {
+        CoverCase {
             outer: "a/*",
             inner: "a/b/c",
             covered: false,
         },
-        Cover {
+        CoverCase {
             outer: "a",
             inner: "a/b",
             covered: false,
         },
-        Cover {
+        CoverCase {
             outer: "a/b",
             inner: "a",
             covered: false,
         },
-        Cover {
+        CoverCase {
             outer: "",
             inner: "",
             covered: true,
         },
     ];
-    for Cover {
+    for CoverCase {
         outer,
         inner,
         covered,
@@ -400,12 +400,12 @@
     }
 }
 
-fn example() -> RulesRecord {
+fn example_rules() -> RulesRecord {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/cascade-tally");
-    check_dir(&dir).expect("the example is right")
+    check_dir(&dir).expect("the example is valid")
 }
 
-fn configuration(version: u64, rules: RulesRecord) -> Document {
+fn configuration_document(version: u64, rules: RulesRecord) -> Document {
     let record = ConfigurationRecord {
         publication: Publication {
             publish_id: Uuid::new_v4(),
@@ -417,7 +417,7 @@
     document(
         DocumentKind::Configuration,
         version,
-        &serde_json::to_vec(&record).expect("plain data"),
+        &serde_json::to_vec(&record).expect("the record serializes to JSON"),
     )
 }
 
@@ -429,7 +429,7 @@
     }
 }
 
-fn keys(version: u64, granted: &[(&str, &str)], revoked: &[&str]) -> Document {
+fn keys_document(version: u64, granted: &[(&str, &str)], revoked: &[&str]) -> Document {
     let mut record = KeysRecord::default();
     for (key, workspace) in granted {
         record
@@ -443,33 +443,38 @@
 }
 
 #[test]
-fn compiles_rules_and_keys() {
+fn rules_and_keys_are_compiled() {
     let names = Names::new();
     let granted = [
         ("k1", "summit-cards"),
         ("k2", "summit-cards"),
         ("k3", "nobody"),
     ];
-    let keys = keys(3, &granted, &["k2"]);
-    let running = compile(&configuration(7, example()), Some(&keys), &names).expect("compiles");
-    assert_eq!(running.revision, 7);
-    let catalog = running.service_names["catalog"];
-    let route = running
+    let keys = keys_document(3, &granted, &["k2"]);
+    let compiled = compile(
+        &configuration_document(7, example_rules()),
+        Some(&keys),
+        &names,
+    )
+    .expect("the documents compile");
+    assert_eq!(compiled.revision, 7);
+    let catalog = compiled.service_names["catalog"];
+    let route = compiled
         .route(catalog, "PUT", "/prices/42")
-        .expect("a route");
+        .expect("a route matches");
     assert_eq!((route.class, route.repeatable), (Class::Critical, false));
     assert_eq!(route.deadline_ms, 2_000);
-    let summit = names.workspace("summit-cards");
-    assert_eq!(running.workspaces[&summit].rate.burst_count, 400);
-    assert_eq!(running.workspaces[&summit].key_lease_ms, 60_000);
-    let state = |key| running.key_state(&KeyDigest::of_key(key));
-    assert_eq!(state("k1"), KeyState::Granted(summit));
-    assert_eq!(state("k2"), KeyState::Revoked);
-    assert_eq!(state("k3"), KeyState::Unknown);
+    let summit_cards = names.workspace("summit-cards");
+    assert_eq!(compiled.workspaces[&summit_cards].rate.burst_count, 400);
+    assert_eq!(compiled.workspaces[&summit_cards].key_lease_ms, 60_000);
+    let key_state = |key| compiled.key_state(&KeyDigest::of_key(key));
+    assert_eq!(key_state("k1"), KeyState::Granted(summit_cards));
+    assert_eq!(key_state("k2"), KeyState::Revoked);
+    assert_eq!(key_state("k3"), KeyState::Unknown);
 }
 
 #[test]
-fn any_documents_compile_or_are_refused_without_panic() {
+fn compiling_arbitrary_documents_does_not_panic() {
     bolero::check!()
         .with_type::<(Vec<u8>, Vec<u8>)>()
         .for_each(|(rules, keys)| {
@@ -480,108 +485,144 @@
 }
 
 #[test]
-fn any_path_pattern_is_read_without_panic() {
+fn parsing_arbitrary_path_patterns_does_not_panic() {
     bolero::check!().with_type::<String>().for_each(|path| {
         if let Ok(segments) = parse_path(path) {
-            assert!(covers(&segments, &segments), "{path:?} covers itself");
+            assert!(covers(&segments, &segments), "{path:?} must cover itself");
         }
     });
 }
 
 #[test]
-fn refuses_documents_that_cannot_be_read() {
+fn invalid_documents_are_rejected() {
     let names = Names::new();
-    let broken = document(DocumentKind::Configuration, 1, b"{");
-    assert!(compile(&broken, None, &names).is_err());
-    let broken = document(DocumentKind::Keys, 1, b"[]");
-    assert!(compile(&configuration(1, example()), Some(&broken), &names).is_err());
+    let invalid = document(DocumentKind::Configuration, 1, b"{");
+    assert!(compile(&invalid, None, &names).is_err());
+    let invalid = document(DocumentKind::Keys, 1, b"[]");
+    assert!(
+        compile(
+            &configuration_document(1, example_rules()),
+            Some(&invalid),
+            &names
+        )
+        .is_err()
+    );
 }
 
-/// A node's documents, revocations and what it has in force.
-struct Node {
+/// Documents and revocations of a node, and the configuration in force.
+struct Fixture {
     store: DocumentStore,
     revocations: Revocations,
-    running: watch::Receiver<Arc<Running>>,
+    configuration: watch::Receiver<Arc<Running>>,
     shutdown: CancellationToken,
 }
 
-impl Node {
+impl Fixture {
     fn new() -> Self {
         let store = DocumentStore::new();
         let revocations = Revocations::new();
         let shutdown = CancellationToken::new();
-        let running = spawn_in_force(&store, &revocations, Names::new(), shutdown.clone());
+        let configuration = spawn_in_force(&store, &revocations, Names::new(), shutdown.clone());
         Self {
             store,
             revocations,
-            running,
+            configuration,
             shutdown,
         }
     }
 
-    async fn wait(&mut self, holds: impl FnMut(&Arc<Running>) -> bool) {
-        timeout(Duration::from_secs(20), self.running.wait_for(holds))
-            .await
-            .expect("comes into force")
-            .expect("the task runs");
+    async fn wait_until(&mut self, condition: impl FnMut(&Arc<Running>) -> bool) {
+        timeout(
+            Duration::from_secs(20),
+            self.configuration.wait_for(condition),
+        )
+        .await
+        .expect("the configuration comes into force within 20 s")
+        .expect("the configuration task runs");
     }
 
-    fn state(&self, key: &str) -> KeyState {
-        self.running.borrow().key_state(&KeyDigest::of_key(key))
+    fn key_state(&self, key: &str) -> KeyState {
+        self.configuration
+            .borrow()
+            .key_state(&KeyDigest::of_key(key))
     }
 }
 
-impl Drop for Node {
+impl Drop for Fixture {
     fn drop(&mut self) {
         self.shutdown.cancel();
     }
 }
 
-// A tool writes a document that nodes cannot read. Users must notice nothing:
-// the earlier revision stays in force, and the next good one replaces it.
+// A tool publishes a document that nodes cannot parse. Requests must not be
+// affected: the previous revision stays in force until the next valid one.
 #[tokio::test]
-async fn keeps_the_earlier_revision_when_a_document_is_broken() {
-    let mut node = Node::new();
-    node.store.offer(configuration(1, example()));
-    node.wait(|running| running.revision == 1).await;
-    node.store
+async fn previous_revision_stays_in_force_when_a_document_is_invalid() {
+    let mut fixture = Fixture::new();
+    fixture
+        .store
+        .offer(configuration_document(1, example_rules()));
+    fixture
+        .wait_until(|configuration| configuration.revision == 1)
+        .await;
+    fixture
+        .store
         .offer(document(DocumentKind::Configuration, 2, b"{"));
-    node.revocations.apply(KeyDigest::of_key("k1"));
-    node.wait(|running| running.revoked.len() == 1).await;
-    assert_eq!(node.running.borrow().revision, 1);
-    node.store.offer(configuration(3, example()));
-    node.wait(|running| running.revision == 3).await;
+    fixture.revocations.apply(KeyDigest::of_key("k1"));
+    fixture
+        .wait_until(|configuration| configuration.revoked.len() == 1)
+        .await;
+    assert_eq!(fixture.configuration.borrow().revision, 1);
+    fixture
+        .store
+        .offer(configuration_document(3, example_rules()));
+    fixture
+        .wait_until(|configuration| configuration.revision == 3)
+        .await;
 }
 
-// An operator revokes a key while the platform is down and tells the nodes
-// directly. Later versions of the keys document, written from an older copy,
-// lack the revocation; the key must not work again.
+// While the platform is down, an operator sends a revocation directly to the
+// nodes. Later versions of the keys document, written from an older copy, lack
+// it; the key must stay revoked.
 #[tokio::test]
-async fn revocation_told_directly_survives_documents_that_lack_it() {
-    let mut node = Node::new();
-    node.store.offer(configuration(1, example()));
-    node.store.offer(keys(1, &[("k1", "summit-cards")], &[]));
+async fn direct_revocation_survives_documents_that_lack_it() {
+    let mut fixture = Fixture::new();
+    fixture
+        .store
+        .offer(configuration_document(1, example_rules()));
+    fixture
+        .store
+        .offer(keys_document(1, &[("k1", "summit-cards")], &[]));
     let digest = KeyDigest::of_key("k1");
-    node.wait(|running| running.granted.contains_key(&digest))
+    fixture
+        .wait_until(|configuration| configuration.granted.contains_key(&digest))
+        .await;
+    fixture.revocations.apply(digest);
+    fixture
+        .wait_until(|configuration| configuration.revoked.contains(&digest))
         .await;
-    node.revocations.apply(digest);
-    node.wait(|running| running.revoked.contains(&digest)).await;
     let granted = [("k1", "summit-cards"), ("k2", "summit-cards")];
-    node.store.offer(keys(2, &granted, &[]));
-    node.wait(|running| running.granted.len() == 2).await;
-    assert_eq!(node.state("k1"), KeyState::Revoked);
-    assert!(node.revocations.pending().contains(&digest));
-
-    node.store.offer(keys(3, &granted, &["k1"]));
-    node.wait(|running| running.granted.len() == 1).await;
-    let mut pending = node.revocations.subscribe();
-    let emptied = pending.wait_for(|pending| pending.is_empty());
-    timeout(Duration::from_secs(20), emptied)
+    fixture.store.offer(keys_document(2, &granted, &[]));
+    fixture
+        .wait_until(|configuration| configuration.granted.len() == 2)
+        .await;
+    assert_eq!(fixture.key_state("k1"), KeyState::Revoked);
+    assert!(fixture.revocations.pending().contains(&digest));
+
+    fixture.store.offer(keys_document(3, &granted, &["k1"]));
+    fixture
+        .wait_until(|configuration| configuration.granted.len() == 1)
+        .await;
+    let mut pending = fixture.revocations.subscribe();
+    let until_empty = pending.wait_for(|pending| pending.is_empty());
+    timeout(Duration::from_secs(20), until_empty)
         .await
-        .expect("the document has it")
-        .expect("the set lives");
+        .expect("the revocation is confirmed by the document")
+        .expect("the sender of the set exists");
 
-    node.store.offer(keys(4, &granted, &[]));
-    node.wait(|running| running.granted.len() == 2).await;
-    assert_eq!(node.state("k1"), KeyState::Revoked);
+    fixture.store.offer(keys_document(4, &granted, &[]));
+    fixture
+        .wait_until(|configuration| configuration.granted.len() == 2)
+        .await;
+    assert_eq!(fixture.key_state("k1"), KeyState::Revoked);
 }
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines under load, and with a reader that stops reading.
+//! Log line format, rate limit, and behaviour when the reader of the output stops.
 
 use {
     dogwoodbridge::logging::{LineBudget, LineWriter, json_line},
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn a_line_holds_event_and_fields() {
+fn line_contains_event_and_fields() {
     let message = "E410 RequestRefused port=caller request=9c41 error=connection reset by peer";
     let line = json_line(Level::Warn, message, 3);
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
@@ -20,16 +20,16 @@
     assert_eq!(value["request"], "9c41");
     assert_eq!(value["error"], "connection reset by peer");
     assert_eq!(value["left_out"], 3);
-    let plain = json_line(Level::Info, "no event at all", 0);
-    let value: serde_json::Value = serde_json::from_str(&plain).unwrap();
+    let line_without_event = json_line(Level::Info, "no event at all", 0);
+    let value: serde_json::Value = serde_json::from_str(&line_without_event).unwrap();
     assert_eq!(value["text"], "no event at all");
     assert!(value.get("left_out").is_none());
 }
 
-/// The text of an error holds words that look like fields. Taken for them, a
-/// caller could put another request's id into the line of its own failure.
+/// An error text can contain words of the form `name=value`. Parsed as fields,
+/// they would let a caller put another request's id into its own log line.
 #[test]
-fn words_of_an_error_change_no_field() {
+fn error_text_does_not_overwrite_fields() {
     let message = "E410 RequestRefused request=9c41 error=bad header request=other level=INFO";
     let line = json_line(Level::Warn, message, 0);
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
@@ -38,32 +38,36 @@
     assert_eq!(value["error"], "bad header request=other level=INFO");
 }
 
-/// Thousands of requests a second are refused. Written one by one, the lines
-/// would take the processor that serves the others.
+/// When thousands of requests per second are refused, one log line for each
+/// would use the CPU time needed to serve the others.
 #[test]
-fn lines_of_an_event_are_bounded_and_what_is_left_out_is_told() {
-    let mut budget = LineBudget::new();
+fn lines_per_event_are_limited_and_suppressed_lines_counted() {
+    let mut rate_limit = LineBudget::new();
     let mut written_count = 0;
     for index in 0..5000_u64 {
-        let verdict = budget.spend("RequestRefused", Level::Info, index * 200);
-        written_count += u64::from(verdict.is_written);
+        let decision = rate_limit.spend("RequestRefused", Level::Info, index * 200);
+        written_count += u64::from(decision.should_write);
     }
     assert!(written_count <= 100, "{written_count}");
-    assert!(budget.spend("MemberDead", Level::Info, 999_999).is_written);
-    let next = budget.spend("RequestRefused", Level::Info, 1_000_000);
-    assert!(next.is_written);
-    assert_eq!(next.left_out_count, 5000 - written_count);
+    assert!(
+        rate_limit
+            .spend("MemberDead", Level::Info, 999_999)
+            .should_write
+    );
+    let next_second = rate_limit.spend("RequestRefused", Level::Info, 1_000_000);
+    assert!(next_second.should_write);
+    assert_eq!(next_second.suppressed_count, 5000 - written_count);
 }
 
-/// An output that blocks until it is told to go on.
-struct Stuck {
-    go_on: Mutex<mpsc::Receiver<()>>,
+/// An output that blocks each write until the test unblocks it.
+struct BlockingOutput {
+    unblock: Mutex<mpsc::Receiver<()>>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockingOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _ = self.go_on.lock().unwrap().recv();
+        let _ = self.unblock.lock().unwrap().recv();
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -73,14 +77,14 @@
     }
 }
 
-/// Whoever reads standard output stops. Were writing to block, every request of
-/// the node would stand still until somebody notices.
+/// The reader of standard output stops reading. If logging blocked, all requests
+/// of the node would stall.
 #[test]
-fn a_reader_that_stops_costs_lines_and_nothing_else() {
-    let (go_on, receiver) = mpsc::channel();
+fn stopped_reader_drops_lines_without_blocking() {
+    let (unblock_sender, unblock) = mpsc::channel();
     let written = Arc::default();
-    let output = Stuck {
-        go_on: Mutex::new(receiver),
+    let output = BlockingOutput {
+        unblock: Mutex::new(unblock),
         written: Arc::clone(&written),
     };
     let writer = LineWriter::spawn(output).unwrap();
@@ -89,5 +93,5 @@
     }
     let dropped_count = writer.take_dropped_count();
     assert!(dropped_count > 8000, "{dropped_count}");
-    drop(go_on);
+    drop(unblock_sender);
 }
