--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,60 +6,60 @@
     std::net::{IpAddr, SocketAddr},
 };
 
-/// Shortest fleet or operator secret that is accepted.
+/// Minimum length of the fleet and operator secrets.
 pub const MIN_SECRET_BYTES: usize = 16;
 
-/// Ports that a node listens on, the same on every instance by default.
+/// Default ports of a node.
 pub mod ports {
-    /// Callers, HTTP/1.1 and HTTP/2.
+    /// Callers: HTTP/1.1 and HTTP/2.
     pub const CALLER: u16 = 7000;
-    /// Other nodes, HTTP/2 with prior knowledge.
+    /// Other nodes: HTTP/2 with prior knowledge.
     pub const PEER: u16 = 7001;
-    /// The instance's own target: announcements and downstream calls.
+    /// The local target: announcements and downstream calls.
     pub const EGRESS: u16 = 7002;
-    /// Gossip, UDP.
+    /// Gossip between nodes: UDP.
     pub const GOSSIP: u16 = 7003;
-    /// Bank and relay calls between nodes, capnp-rpc.
+    /// Token pool and relay calls between nodes: capnp-rpc.
     pub const RPC: u16 = 7004;
-    /// Operators, tarpc.
+    /// Operators: tarpc.
     pub const CONTROL: u16 = 7005;
-    /// Metrics, `/healthz` and `/readyz`.
+    /// Metrics, `/healthz` and `/readyz`: HTTP.
     pub const ADMIN: u16 = 7006;
 }
 
-/// How admission at the target's node decides.
+/// Admission policy at the target's node.
 #[derives::key]
 #[derive(ValueEnum)]
 pub enum AdmissionChoice {
     /// Adaptive limit, class queues, reserved slots, workspace fairness.
     Adaptive,
-    /// Baseline: a fixed limit and one first-in-first-out queue.
+    /// Baseline: a fixed limit and one FIFO queue.
     Static,
-    /// Baseline: everything is admitted at once.
+    /// Baseline: admits every request immediately.
     AdmitAll,
 }
 
-/// How failed attempts are repeated.
+/// Retry policy for failed attempts.
 #[derives::key]
 #[derive(ValueEnum)]
 pub enum RetryChoice {
-    /// One budget for the whole chain, moved from hop to hop.
+    /// One retry allotment for the whole call chain, passed from hop to hop.
     Budget,
     /// Baseline: three retries at every hop.
     Naive,
 }
 
-/// The overload control process beside one target instance.
+/// Overload control process that runs next to one target instance.
 #[derive(Debug, Clone, Parser)]
 #[command(name = "dogwoodd", version)]
 pub struct Settings {
-    /// Name of this node's slot, unique in the fleet and kept by a replacement
+    /// Name of this node's slot, unique in the fleet; a replacement node keeps it
     #[arg(long, env = "DOGWOOD_NODE_ID")]
     pub node_id: String,
-    /// Address that the node listens on
+    /// Address that this node listens on
     #[arg(long, env = "DOGWOOD_IP")]
     pub ip: IpAddr,
-    /// Address under which other nodes reach this one, where it differs from --ip
+    /// Address at which other nodes reach this node, if it differs from --ip
     #[arg(long, env = "DOGWOOD_ADVERTISE_IP")]
     pub advertise_ip: Option<IpAddr>,
     /// Region of this instance
@@ -71,28 +71,28 @@
     /// Address of the platform's object API
     #[arg(long, env = "DOGWOOD_PLATFORM")]
     pub platform: SocketAddr,
-    /// Gossip addresses for the first contact, separated by commas
+    /// Gossip addresses of seed nodes to join through, separated by commas
     #[arg(long, env = "DOGWOOD_SEEDS", value_delimiter = ',')]
     pub seeds: Vec<SocketAddr>,
-    /// Secret that all nodes of the fleet share
+    /// Secret shared by all nodes of the fleet
     #[arg(long, env = "DOGWOOD_FLEET_SECRET", hide_env_values = true)]
     pub fleet_secret: String,
-    /// Secret that operators present
+    /// Secret that operators authenticate with
     #[arg(long, env = "DOGWOOD_OPERATOR_SECRET", hide_env_values = true)]
     pub operator_secret: String,
     /// Port for callers
     #[arg(long, env = "DOGWOOD_CALLER_PORT", default_value_t = ports::CALLER)]
     pub caller_port: u16,
-    /// Port for HTTP/2 between nodes
+    /// Port for HTTP/2 requests from other nodes
     #[arg(long, env = "DOGWOOD_PEER_PORT", default_value_t = ports::PEER)]
     pub peer_port: u16,
-    /// Port for the instance's own target
+    /// Port for the local target
     #[arg(long, env = "DOGWOOD_EGRESS_PORT", default_value_t = ports::EGRESS)]
     pub egress_port: u16,
     /// UDP port for gossip
     #[arg(long, env = "DOGWOOD_GOSSIP_PORT", default_value_t = ports::GOSSIP)]
     pub gossip_port: u16,
-    /// Port for bank and relay calls between nodes
+    /// Port for token pool and relay calls between nodes
     #[arg(long, env = "DOGWOOD_RPC_PORT", default_value_t = ports::RPC)]
     pub rpc_port: u16,
     /// Port for operators
@@ -104,25 +104,25 @@
     /// Worker threads of the process
     #[arg(long, env = "DOGWOOD_WORKER_THREADS", default_value_t = 2)]
     pub worker_threads: usize,
-    /// Largest request body in bytes
+    /// Maximum size of a request body, in bytes
     #[arg(long, env = "DOGWOOD_MAX_BODY_BYTES", default_value_t = 1 << 20)]
     pub max_body_bytes: usize,
-    /// Largest set of request headers in bytes
+    /// Maximum total size of request headers, in bytes
     #[arg(long, env = "DOGWOOD_MAX_HEADER_BYTES", default_value_t = 16 << 10)]
     pub max_header_bytes: usize,
-    /// Answers up to this size are delivered only when whole, larger ones are streamed
+    /// Responses up to this size, in bytes, are forwarded only when complete; larger ones are streamed
     #[arg(long, env = "DOGWOOD_BUFFERED_ANSWER_BYTES", default_value_t = 256 << 10)]
     pub buffered_answer_bytes: usize,
-    /// Most connections from callers at a time
+    /// Maximum number of concurrent connections from callers
     #[arg(long, env = "DOGWOOD_MAX_CONNECTIONS", default_value_t = 2000)]
     pub max_connections: usize,
-    /// Longest time that a caller may take to send headers, or a body, in milliseconds
+    /// Maximum time for a caller to send the headers, or the body, in milliseconds
     #[arg(long, env = "DOGWOOD_CALLER_READ_TIMEOUT_MS", default_value_t = 5000)]
     pub caller_read_timeout_ms: u64,
-    /// Longest time that running work is given to end at shutdown, in milliseconds
+    /// Maximum time for requests in flight to finish at shutdown, in milliseconds
     #[arg(long, env = "DOGWOOD_DRAIN_LIMIT_MS", default_value_t = 30_000)]
     pub drain_limit_ms: u64,
-    /// How admission at this node's target decides
+    /// Admission policy for the local target
     #[arg(
         long,
         env = "DOGWOOD_ADMISSION",
@@ -130,59 +130,59 @@
         default_value = "adaptive"
     )]
     pub admission: AdmissionChoice,
-    /// How failed attempts are repeated
+    /// Retry policy for failed attempts
     #[arg(long, env = "DOGWOOD_RETRY", value_enum, default_value = "budget")]
     pub retry: RetryChoice,
-    /// Retries at a service that this node may make for each hundred first attempts
+    /// Retries per service by this node, in percent of its first attempts at that service
     #[arg(long, env = "DOGWOOD_RETRY_PERCENT", default_value_t = RETRY_SHARE_PERCENT)]
     pub retry_percent: u32,
-    /// Retries at a service that this node may make in ten seconds without first attempts
+    /// Additional retries per service by this node in ten seconds, independent of first attempts
     #[arg(long, env = "DOGWOOD_RETRY_FLOOR", default_value_t = RETRY_FLOOR_COUNT)]
     pub retry_floor: u32,
-    /// Requests that a cold target gets in any second, in percent of the rate that its service bears
+    /// Maximum requests to a cold target in any second, in percent of its service's cold rate
     #[arg(long, env = "DOGWOOD_COLD_PERCENT", default_value_t = 100)]
     pub cold_percent: u32,
-    /// Time from the start of a drain in which callers are still accepted, in milliseconds
+    /// Time for which callers are still accepted after a drain starts, in milliseconds
     #[arg(long, env = "DOGWOOD_DRAIN_ACCEPT_MS", default_value_t = 1000)]
     pub drain_accept_ms: u64,
-    /// Lowest level of log lines: error, warn, info, debug or trace
+    /// Minimum level of log lines: error, warn, info, debug or trace
     #[arg(long, env = "DOGWOOD_LOG_LEVEL", default_value = "info")]
     pub log_level: log::LevelFilter,
 }
 
-/// A setting that cannot work.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A text that must not be empty is.
+    /// A required value is empty.
     #[error("--{flag} is empty: give a name of letters, digits, '-' or '.'")]
     Empty {
         /// The flag without dashes.
         flag: String,
     },
-    /// A name holds characters that headers and metrics cannot carry.
+    /// A name contains characters that are not allowed in headers and metrics.
     #[error("--{flag} {value:?}: only letters, digits, '-', '_' and '.' are allowed")]
     BadName {
         /// The flag without dashes.
         flag: String,
-        /// The value as it was given.
+        /// The given value.
         value: String,
     },
-    /// A secret is too short to protect anything.
-    #[error("--{flag} has {byte_count} bytes: at least {MIN_SECRET_BYTES} are needed")]
+    /// A secret is too short to be safe.
+    #[error("--{flag} has {byte_count} bytes: at least {MIN_SECRET_BYTES} are required")]
     ShortSecret {
         /// The flag without dashes.
         flag: String,
-        /// Its length.
+        /// Length of the secret, in bytes.
         byte_count: usize,
     },
-    /// A number that must be positive is 0.
-    #[error("--{flag} is 0: at least 1 is needed")]
+    /// A value that must be positive is 0.
+    #[error("--{flag} is 0: at least 1 is required")]
     Zero {
         /// The flag without dashes.
         flag: String,
     },
-    /// Two listeners would share a port.
-    #[error("--{first} and --{second} are both {port}: give each its own port")]
+    /// Two listeners are set to the same port.
+    #[error("--{first} and --{second} are both {port}: give each a different port")]
     SamePort {
         /// One flag without dashes.
         first: String,
@@ -194,7 +194,7 @@
 }
 
 impl Settings {
-    /// Checks what clap cannot: names, secrets, positive numbers, ports.
+    /// Checks names, secrets, positive numbers and ports, which clap does not check.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_name("node-id", &self.node_id)?;
         check_name("region", &self.region)?;
@@ -208,7 +208,7 @@
         self.check_ports()
     }
 
-    /// Address under which other nodes reach this one.
+    /// Returns the address at which other nodes reach this node.
     #[must_use]
     pub fn reachable_ip(&self) -> IpAddr {
         self.advertise_ip.unwrap_or(self.ip)
@@ -223,12 +223,12 @@
             ("control-port", self.control_port),
             ("admin-port", self.admin_port),
         ];
-        for (index, (first, port)) in tcp_ports.iter().enumerate() {
-            for (second, other) in &tcp_ports[index + 1..] {
-                if port == other {
+        for (index, (first_flag, port)) in tcp_ports.iter().enumerate() {
+            for (second_flag, other_port) in &tcp_ports[index + 1..] {
+                if port == other_port {
                     return Err(SettingsError::SamePort {
-                        first: (*first).to_owned(),
-                        second: (*second).to_owned(),
+                        first: (*first_flag).to_owned(),
+                        second: (*second_flag).to_owned(),
                         port: *port,
                     });
                 }
@@ -244,8 +244,8 @@
             flag: flag.to_owned(),
         });
     }
-    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if !value.chars().all(is_allowed) {
+    let is_allowed_char = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if !value.chars().all(is_allowed_char) {
         return Err(SettingsError::BadName {
             flag: flag.to_owned(),
             value: value.to_owned(),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings that cannot work are named at the start.
+//! Invalid settings are rejected with the flag at fault.
 
 use {
     clap::Parser,
     dogwoodbridge::settings::{Settings, SettingsError},
 };
 
-const GOOD: [&str; 17] = [
+const VALID_ARGUMENTS: [&str; 17] = [
     "dogwoodd",
     "--node-id",
     "n1",
@@ -25,20 +25,20 @@
     "warn",
 ];
 
-fn parse(changes: &[&str]) -> Result<Settings, clap::Error> {
-    Settings::try_parse_from(GOOD.iter().chain(changes).copied())
+fn parse_settings(extra_arguments: &[&str]) -> Result<Settings, clap::Error> {
+    Settings::try_parse_from(VALID_ARGUMENTS.iter().chain(extra_arguments).copied())
 }
 
 #[test]
-fn good_settings_pass() {
-    let settings = parse(&["--caller-port", "8000"]).unwrap();
+fn valid_settings_are_accepted() {
+    let settings = parse_settings(&["--caller-port", "8000"]).unwrap();
     assert_eq!(settings.check(), Ok(()));
     assert_eq!(settings.caller_port, 8000);
     assert_eq!(settings.reachable_ip(), settings.ip);
 }
 
 #[test]
-fn settings_that_cannot_work_are_named() {
+fn invalid_settings_are_rejected_by_flag() {
     struct Case {
         change: fn(&mut Settings),
         expected: SettingsError,
@@ -80,14 +80,14 @@
         },
     ];
     for case in cases {
-        let mut settings = parse(&[]).unwrap();
+        let mut settings = parse_settings(&[]).unwrap();
         (case.change)(&mut settings);
         assert_eq!(settings.check(), Err(case.expected));
     }
 }
 
 #[test]
-fn values_of_the_wrong_kind_are_rejected_by_the_parser() {
+fn values_of_wrong_type_are_rejected_by_the_parser() {
     struct Case {
         flag: String,
         value: String,
@@ -102,7 +102,9 @@
         value: value.to_owned(),
     });
     for case in cases {
-        let error = parse(&[&case.flag, &case.value]).unwrap_err().to_string();
+        let error = parse_settings(&[&case.flag, &case.value])
+            .unwrap_err()
+            .to_string();
         assert!(error.contains(&case.flag), "{error}");
     }
 }
