--- a/src/egress/announce.rs
+++ b/src/egress/announce.rs
@@ -1,4 +1,4 @@
-//! What the own target tells about itself.
+//! Notices of the local target: heartbeats, graceful leave and load reports.
 
 use {
     crate::{
@@ -14,35 +14,38 @@
     hyper::{Request, Response, body::Incoming},
 };
 
-const MAX_BYTES: usize = 16 << 10;
+const MAX_NOTICE_BYTES: usize = 16 << 10;
 
-/// Answers a request of the own target to its node.
+/// Handles a notice that the local target sends to its node.
 pub async fn handle<P: Policies>(
     node: &Node<P>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let result = take(node, request).await;
+    let result = apply_notice(node, request).await;
     if let Err(error) = &result {
         event!(Event::NoticeRejected, "error={error}");
     }
     node.dialect.notice_response(result)
 }
 
-async fn take<P: Policies>(node: &Node<P>, request: Request<Incoming>) -> Result<(), NoticeError> {
+async fn apply_notice<P: Policies>(
+    node: &Node<P>,
+    request: Request<Incoming>,
+) -> Result<(), NoticeError> {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     let mut body = request.into_body();
-    let Collected::Whole(body) = collect(&mut body, MAX_BYTES).await? else {
+    let Collected::Whole(body) = collect(&mut body, MAX_NOTICE_BYTES).await? else {
         return Err(NoticeError::TooLarge {
-            limit_bytes: MAX_BYTES,
+            limit_bytes: MAX_NOTICE_BYTES,
         });
     };
     match node.dialect.read_notice(&method, &path, &body)? {
-        TargetNotice::Alive(heartbeat) => alive(node, heartbeat),
+        TargetNotice::Alive(heartbeat) => record_heartbeat(node, heartbeat),
         TargetNotice::Leaving {
             instance_id,
             started_unix_ms,
-        } => leave(node, &instance_id, started_unix_ms),
+        } => record_leave(node, &instance_id, started_unix_ms),
         TargetNotice::Load { busy_ratio } => {
             let received_us = node.timer.now_us();
             node.admission().report(LoadReport {
@@ -54,7 +57,7 @@
     Ok(())
 }
 
-fn alive<P: Policies>(node: &Node<P>, heartbeat: Heartbeat) {
+fn record_heartbeat<P: Policies>(node: &Node<P>, heartbeat: Heartbeat) {
     let Heartbeat {
         instance_id,
         service,
@@ -66,10 +69,10 @@
         sequence,
         cold_left_ms,
     } = heartbeat;
-    let standing = node
+    let notice_status = node
         .registration()
         .alive(&instance_id, started_unix_ms, sequence);
-    if standing == Standing::Outdated {
+    if notice_status == Standing::Outdated {
         event!(
             Event::NoticeOutdated,
             "instance={instance_id} started_unix_ms={started_unix_ms} sequence={sequence:?}"
@@ -84,7 +87,7 @@
         connection_count,
     };
     let was_cold = node.target.gate().is_cold(now_us);
-    let restarted = node.target.announce(target, cold_left_ms, now_us);
+    let has_restarted = node.target.announce(target, cold_left_ms, now_us);
     let size = TargetSize {
         slot_count,
         connection_count,
@@ -93,13 +96,13 @@
     let is_draining = state == TargetState::Draining;
     {
         let mut admission = node.admission();
-        admission.set_size(size, restarted, now_us);
-        // Also for a target that comes up beside a node that leaves.
+        admission.set_size(size, has_restarted, now_us);
+        // Also for a target that starts while its node drains.
         if is_draining || node.is_draining() {
             admission.drain(now_us);
         }
     }
-    if restarted {
+    if has_restarted {
         event!(
             Event::TargetAnnounced,
             "service={service} instance={instance_id} slots={slot_count} cold_left_ms={cold_left_ms}"
@@ -111,7 +114,7 @@
             "instance={instance_id} cold_left_ms={cold_left_ms}"
         );
     }
-    publish(
+    publish_announcement(
         node,
         Announcement {
             service,
@@ -122,7 +125,7 @@
     );
 }
 
-fn leave<P: Policies>(node: &Node<P>, instance_id: &str, started_unix_ms: Option<u64>) {
+fn record_leave<P: Policies>(node: &Node<P>, instance_id: &str, started_unix_ms: Option<u64>) {
     let is_present = node.registration().leave(instance_id, started_unix_ms);
     event!(
         Event::TargetLeaving,
@@ -132,21 +135,21 @@
         return;
     }
     node.admission().drain(node.timer.now_us());
-    node.own_state.send_if_modified(|own| {
-        let Some(target) = &mut own.target else {
+    node.own_state.send_if_modified(|own_state| {
+        let Some(target) = &mut own_state.target else {
             return false;
         };
         !std::mem::replace(&mut target.draining, true)
     });
 }
 
-/// Gossip and routing are woken only by changes, not by each repetition.
-fn publish<P: Policies>(node: &Node<P>, announcement: Announcement) {
-    node.own_state.send_if_modified(|own| {
-        if own.target.as_ref() == Some(&announcement) {
+/// Notifies gossip and routing only of changes, not of each repeated heartbeat.
+fn publish_announcement<P: Policies>(node: &Node<P>, announcement: Announcement) {
+    node.own_state.send_if_modified(|own_state| {
+        if own_state.target.as_ref() == Some(&announcement) {
             return false;
         }
-        own.target = Some(announcement);
+        own_state.target = Some(announcement);
         true
     });
 }
--- a/src/egress/attempts.rs
+++ b/src/egress/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at a request: pick a target, send, retry within the budget.
+//! Attempts of a call: picks a target, sends, and retries within the retry budget.
 
 use {
     crate::{
@@ -19,70 +19,70 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Taken off the time that a hop is given, so that its answer, which knows
-/// more, comes before this side's own timeout: a request that waited in vain
-/// is then told as not run, and its caller may send it again. Covers the way
-/// back over a zone's border (1 to 2 ms) and the turn of a thread that has part
-/// of a core (10 ms).
+/// Subtracted from the time that the next hop is given, so that its response arrives
+/// before this node's own timeout. The hop knows whether a queued request ran: if not,
+/// it reports `not-run`, and the caller may retry. Covers the return path across zones
+/// (1 to 2 ms) and the scheduling delay of a thread on a shared core (10 ms).
 const HOP_MARGIN_US: u64 = 15_000;
-/// The margin is at most this part of the remaining time.
-const HOP_MARGIN_PART: u64 = 10;
+/// The margin is at most the remaining time divided by this.
+const HOP_MARGIN_DIVISOR: u64 = 10;
 
-/// Further targets that are tried, free of the retry budget, after attempts
+/// Most retries of a call that are not charged to the retry budget: those after attempts
 /// that reached no target.
-const FREE_PICK_COUNT: usize = 3;
+const MAX_FREE_RETRIES: usize = 3;
 
-/// A call on its way out of this node.
+/// A call that this node sends to a target.
 #[derives::value]
 #[derive(Copy, Eq)]
 pub struct Call {
     /// The caller's original request.
     pub request_id: RequestId,
-    /// Workspace that it runs for.
+    /// Workspace for which it runs.
     pub workspace: WorkspaceKey,
     /// Digest of the key that the original request carried.
     pub key: KeyDigest,
     /// Service that is called.
     pub service: ServiceKey,
-    /// Importance.
+    /// Priority class.
     pub class: Class,
-    /// When whoever called stops waiting.
+    /// Time at which the sender of the call stops waiting, in microseconds.
     pub deadline_us: u64,
-    /// Hops above.
+    /// Number of hops above this one; 0 for a caller's request.
     pub depth: u8,
     /// Regions in which it may run.
     pub regions: RegionSet,
     /// Whether it may be executed again after an unknown outcome.
     pub repeatable: bool,
-    /// Holder of the retry allotment on this node.
+    /// Key of the call's retry allotment on this node.
     pub retry: CallKey,
 }
 
 impl Call {
-    /// Whether it begins a chain: a caller with a key sent it, not a target.
+    /// Whether it begins a call chain: a caller with a key sent it, not a target.
     #[must_use]
-    pub fn is_new(&self) -> bool {
+    pub fn begins_chain(&self) -> bool {
         begins_chain(self.depth, self.key)
     }
 }
 
-/// Sends a request until it is answered, refused for good or out of budget.
+/// Sends a call until an attempt completes, is refused for good, or the deadline or the
+/// retry budget is exhausted.
 pub async fn run_attempts<P: Policies>(
     node: &Arc<Node<P>>,
     call: &Call,
     outbound: &Outbound,
 ) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
-    let mut free_pick_count = 0;
+    let mut free_retry_count = 0;
     let mut may_have_run = false;
     loop {
         let refusal = match attempt(node, call, outbound, &mut tried).await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(refusal) => refusal,
         };
-        // A retry that is refused says nothing of an earlier attempt. Passed on
-        // as it is, its `not-run` would be false: the journal of a target
-        // would show the request although its caller was told otherwise.
+        // A refused retry says nothing about an earlier attempt. If its `not-run` were
+        // passed on, the caller would be told that the request did not run although a
+        // target may have executed it.
         may_have_run |= refusal.outcome == Outcome::Unknown;
         let refusal = match may_have_run {
             true => Refusal {
@@ -91,39 +91,38 @@
             },
             false => refusal,
         };
-        if !may_repeat(call, refusal) {
+        if !may_retry(call, refusal) {
             return Err(refusal);
         }
         let now_us = node.timer.now_us();
         if now_us >= call.deadline_us {
             return Err(refusal);
         }
-        // A node that is gone but still known would otherwise use up the
-        // retries of a service with little traffic, and callers would see
-        // refusals although another target is idle. Nothing ran, so nothing
-        // can multiply.
-        if never_reached(refusal) && !may_have_run && free_pick_count < FREE_PICK_COUNT {
-            free_pick_count += 1;
+        // A node that has died but is still a member would otherwise exhaust the retries
+        // of a service with little traffic, and callers would be refused although another
+        // target is idle. Nothing ran, so these retries cannot multiply load.
+        if never_reached_target(refusal) && !may_have_run && free_retry_count < MAX_FREE_RETRIES {
+            free_retry_count += 1;
             continue;
         }
-        if is_held_back(refusal) {
+        if is_target_paused(refusal) {
             return Err(refusal.with_exhausted());
         }
         if !node.retries().try_retry(call.retry, call.service, now_us) {
             return Err(refusal.with_exhausted());
         }
         node.metrics.retries.inc();
-        let (id, reason, tried) = (call.request_id, refusal.reason, tried.len());
+        let (id, reason, tried_count) = (call.request_id, refusal.reason, tried.len());
         event!(
             Event::RequestRetried,
-            "request={id} reason={reason} tried={tried}"
+            "request={id} reason={reason} tried={tried_count}"
         );
     }
 }
 
-/// Whether the attempt ended before the target: no connection led to it, or its
-/// node sends no work there, no more or not yet.
-fn never_reached(refusal: Refusal) -> bool {
+/// Whether the attempt ended before the target: its node could not be connected to, or
+/// does not or not yet send requests to it.
+fn never_reached_target(refusal: Refusal) -> bool {
     let is_before_target = matches!(
         refusal.reason,
         Reason::ConnectionLost
@@ -137,17 +136,17 @@
     refusal.outcome == Outcome::NotRun && is_before_target
 }
 
-/// Whether the target's node sends it nothing more for a while: a retry would
-/// most likely meet the same elsewhere.
-fn is_held_back(refusal: Refusal) -> bool {
-    let is_closed = matches!(refusal.reason, Reason::TargetCold | Reason::ZoneEvacuated);
-    refusal.outcome == Outcome::NotRun && is_closed
+/// Whether the target's node sends it no further requests for a while. A retry would
+/// most likely be refused by other targets for the same reason.
+fn is_target_paused(refusal: Refusal) -> bool {
+    let is_paused = matches!(refusal.reason, Reason::TargetCold | Reason::ZoneEvacuated);
+    refusal.outcome == Outcome::NotRun && is_paused
 }
 
-/// Whether sending again can help and cannot execute the request twice.
-fn may_repeat(call: &Call, refusal: Refusal) -> bool {
+/// Whether a retry can succeed and cannot execute the request twice.
+fn may_retry(call: &Call, refusal: Refusal) -> bool {
     let is_safe = call.repeatable || refusal.outcome == Outcome::NotRun;
-    let can_help = matches!(
+    let can_succeed = matches!(
         refusal.reason,
         Reason::Overloaded
             | Reason::Draining
@@ -160,9 +159,9 @@
             | Reason::ZoneEvacuated
             | Reason::OutsideRegions
     );
-    // A target that its own node has just lost: others may be left.
-    let lost_target = refusal.reason == Reason::NoTarget;
-    is_safe && (can_help || lost_target) && !refusal.exhausted
+    // The picked node has just lost its target; other targets may be available.
+    let has_lost_target = refusal.reason == Reason::NoTarget;
+    is_safe && (can_succeed || has_lost_target) && !refusal.exhausted
 }
 
 async fn attempt<P: Policies>(
@@ -176,30 +175,30 @@
     if remaining_us == 0 {
         return Err(Refusal::not_run(Reason::TooLate));
     }
-    let picked = node.routes().pick(wanted(call), tried, started_us);
-    let (target, place) = match picked {
+    let picked = node.routes().pick(route_request(call), tried, started_us);
+    let (target, location) = match picked {
         Ok(picked) => picked,
         Err(refusal) => {
             let (id, reason) = (call.request_id, refusal.reason);
             event!(Event::RouteRefused, "request={id} reason={reason}");
-            // There is nothing else to try at this hop.
+            // No other target is left to try at this hop.
             return Err(refusal.with_exhausted());
         }
     };
     log_pick(node, call, target, tried.len());
-    let outstanding = Outstanding::new(node, target, started_us);
+    let outstanding = OutstandingAttempt::new(node, target, started_us);
     if tried.is_empty() {
         node.retries().first_attempt(call.service, started_us);
     }
     tried.push(target);
     node.metrics.attempts.inc();
-    // Calls of a target that carry no handle belong to no chain: a node further
-    // down could not spend what it is lent, and with an answer that is lost the
-    // allotment would be lost as well.
-    let loan = (!P::Dialect::CALLS_LIKE_CALLERS).then(|| node.retries().allot_to_child(call.retry));
-    let lent = loan.map_or(0, |loan| loan.allotment);
-    let context = context_of(call, remaining_us, lent);
-    let end = match place {
+    // A target's calls without a handle belong to no chain: the downstream node could not
+    // spend an allotment, and a lost response would lose the allotment too.
+    let child =
+        (!P::Dialect::CALLS_LIKE_CALLERS).then(|| node.retries().allot_to_child(call.retry));
+    let allotment = child.map_or(0, |child| child.allotment);
+    let context = context_of(call, remaining_us, allotment);
+    let hop = match location {
         TargetLocation::Own => {
             let (result, unspent) = serve_local(node, &context, outbound).await;
             HopResult {
@@ -217,23 +216,23 @@
                 limit: Duration::from_micros(remaining_us),
                 now_unix_ms: node.timer.steady_unix_ms(),
             };
-            send_while_heard(node, call, &link, attempt).await
+            send_while_responsive(node, call, &link, attempt).await
         }
     };
-    if let Some(loan) = loan {
-        node.retries().return_unspent(loan.key, end.unspent);
+    if let Some(child) = child {
+        node.retries().return_unspent(child.key, hop.unspent);
     }
-    if let Some(level) = end
+    if let Some(level) = hop
         .level
-        .filter(|_| P::Dialect::CALLS_LIKE_CALLERS && !call.is_new())
+        .filter(|_| P::Dialect::CALLS_LIKE_CALLERS && !call.begins_chain())
     {
         node.downstream().note_level(level, node.timer.now_us());
     }
-    outstanding.end(result_of(&end.result), end.level);
-    end.result
+    outstanding.end(attempt_result(&hop.result), hop.level);
+    hop.result
 }
 
-const fn wanted(call: &Call) -> RouteRequest {
+const fn route_request(call: &Call) -> RouteRequest {
     RouteRequest {
         service: call.service,
         class: call.class,
@@ -241,34 +240,34 @@
     }
 }
 
-/// Sends to another node, at most until this side's own deadline.
+/// Sends to another node; fails with an unknown outcome at the attempt's time limit.
 pub async fn send<P: Policies>(node: &Node<P>, link: &PeerLink, attempt: Attempt<'_>) -> HopResult {
     let sending = peer::send(link, attempt, &node.auth, &node.names);
     match tokio::time::timeout(attempt.limit, sending).await {
-        Ok(end) => end,
+        Ok(hop) => hop,
         Err(_) => HopResult::failed(Refusal::unknown(Reason::DeadlineExceeded), 0),
     }
 }
 
-/// Sends to another node; gives a repeatable call up when that node falls
-/// silent, so that there is time left to send it elsewhere.
-async fn send_while_heard<P: Policies>(
+/// Sends to another node. Abandons a repeatable call when that node stops responding, so
+/// that time is left to retry on another one.
+async fn send_while_responsive<P: Policies>(
     node: &Node<P>,
     call: &Call,
     link: &PeerLink,
     attempt: Attempt<'_>,
 ) -> HopResult {
     tokio::select! {
-        end = send(node, link, attempt) => end,
+        hop = send(node, link, attempt) => hop,
         () = link.wait_until_silent(), if call.repeatable => {
             HopResult::failed(Refusal::unknown(Reason::ConnectionLost), 0)
         }
     }
 }
 
-/// What the next hop is told of a call.
-pub fn context_of(call: &Call, remaining_us: u64, lent: u8) -> RequestContext {
-    let margin_us = HOP_MARGIN_US.min(remaining_us / HOP_MARGIN_PART);
+/// Request context for the next hop; its remaining time is reduced by the margin.
+pub fn context_of(call: &Call, remaining_us: u64, allotment: u8) -> RequestContext {
+    let margin_us = HOP_MARGIN_US.min(remaining_us / HOP_MARGIN_DIVISOR);
     RequestContext {
         request_id: call.request_id,
         workspace: call.workspace,
@@ -276,13 +275,13 @@
         service: call.service,
         class: call.class,
         remaining_us: remaining_us - margin_us,
-        retry_allotment: lent,
+        retry_allotment: allotment,
         depth: call.depth,
         repeatable: call.repeatable,
     }
 }
 
-fn log_pick<P: Policies>(node: &Node<P>, call: &Call, target: TargetKey, tried: usize) {
+fn log_pick<P: Policies>(node: &Node<P>, call: &Call, target: TargetKey, tried_count: usize) {
     if !log::log_enabled!(target: "dogwood", Event::RoutePicked.level()) {
         return;
     }
@@ -290,14 +289,14 @@
     let service = node.names.service_name(call.service);
     let class = call.class.name();
     let routes = node.routes();
-    let to = routes.node_of(target);
+    let node_name = routes.node_of(target);
     event!(
         Event::RoutePicked,
-        "request={id} service={service} class={class} node={to} tried={tried}"
+        "request={id} service={service} class={class} node={node_name} tried={tried_count}"
     );
 }
 
-const fn result_of(result: &Result<Answer, Refusal>) -> AttemptResult {
+const fn attempt_result(result: &Result<Answer, Refusal>) -> AttemptResult {
     match result {
         Ok(_) => AttemptResult::Answered,
         Err(refusal) => match refusal.reason {
@@ -309,30 +308,30 @@
     }
 }
 
-/// An attempt that the router counts as outstanding; given up when dropped.
-struct Outstanding<'a, P: Policies> {
+/// An attempt that the router counts as outstanding; dropping it records a cancelled one.
+struct OutstandingAttempt<'a, P: Policies> {
     node: &'a Node<P>,
     target: TargetKey,
     started_us: u64,
-    ended: bool,
+    has_ended: bool,
 }
 
-impl<'a, P: Policies> Outstanding<'a, P> {
+impl<'a, P: Policies> OutstandingAttempt<'a, P> {
     const fn new(node: &'a Node<P>, target: TargetKey, started_us: u64) -> Self {
         Self {
             node,
             target,
             started_us,
-            ended: false,
+            has_ended: false,
         }
     }
 
     fn end(mut self, result: AttemptResult, level: Option<AdmissionLevel>) {
-        self.finish(result, level);
+        self.record_end(result, level);
     }
 
-    fn finish(&mut self, result: AttemptResult, level: Option<AdmissionLevel>) {
-        self.ended = true;
+    fn record_end(&mut self, result: AttemptResult, level: Option<AdmissionLevel>) {
+        self.has_ended = true;
         let now_us = self.node.timer.now_us();
         let latency_us = now_us.saturating_sub(self.started_us);
         let mut routes = self.node.routes();
@@ -342,10 +341,10 @@
     }
 }
 
-impl<P: Policies> Drop for Outstanding<'_, P> {
+impl<P: Policies> Drop for OutstandingAttempt<'_, P> {
     fn drop(&mut self) {
-        if !self.ended {
-            self.finish(AttemptResult::Cancelled, None);
+        if !self.has_ended {
+            self.record_end(AttemptResult::Cancelled, None);
         }
     }
 }
--- a/src/egress/child.rs
+++ b/src/egress/child.rs
@@ -1,4 +1,4 @@
-//! Downstream calls of the own target.
+//! Downstream calls of the local target.
 
 use {
     super::Call,
@@ -7,7 +7,7 @@
         events::Event,
         exchange::{AnswerBody, CALL, DEADLINE, Outbound, refusal_response, response_of},
         ingress::{
-            Rejection, check_idempotency_key, check_size, discard_body, read_body, split_path,
+            Rejection, check_head_size, check_idempotency_key, discard_body, read_body, split_path,
             strip,
         },
         model::{MAX_DEPTH, Reason, Refusal},
@@ -18,7 +18,7 @@
     std::sync::Arc,
 };
 
-/// Answers a downstream call.
+/// Handles a downstream call.
 pub async fn handle<P: Policies>(
     node: &Arc<Node<P>>,
     request: Request<Incoming>,
@@ -41,21 +41,21 @@
     head: &mut Parts,
     body: &mut Incoming,
 ) -> Result<Response<AnswerBody>, Rejection> {
-    let (handle, parent) = parent_of(node, &head.headers)?;
-    let over = parent.over.clone();
-    let calling = call(node, handle, &parent, head, body);
+    let (handle, parent) = parent_call(node, &head.headers)?;
+    let parent_ended = parent.over.clone();
+    let sending = send_child(node, handle, &parent, head, body);
     tokio::select! {
-        result = calling => result,
-        // The parent's caller has its answer or is gone: nobody would read
-        // what the child brings, and its work would be wasted.
-        () = over.cancelled() => Err(Rejection::new(
+        result = sending => result,
+        // The parent call has completed or its caller has disconnected: nobody would read
+        // the child's response, and its work would be wasted.
+        () = parent_ended.cancelled() => Err(Rejection::new(
             Refusal::unknown(Reason::Cancelled).with_exhausted(),
-            "the call that this one belongs to is over",
+            "the parent call has ended",
         )),
     }
 }
 
-fn parent_of<P: Policies>(
+fn parent_call<P: Policies>(
     node: &Node<P>,
     headers: &HeaderMap,
 ) -> Result<(u128, InFlightCall), Rejection> {
@@ -68,7 +68,10 @@
         .and_then(|value| u128::from_str_radix(value, 16).ok());
     let parent = handle.and_then(|handle| Some((handle, node.calls().get(handle)?)));
     parent.ok_or_else(|| {
-        event!(Event::ContextForged, "port=egress handle unknown or over");
+        event!(
+            Event::ContextForged,
+            "port=egress handle unknown or call ended"
+        );
         Rejection::new(
             Refusal::not_run(Reason::BadHandle),
             "dogwood-call must be the handle of a call in progress",
@@ -76,7 +79,7 @@
     })
 }
 
-async fn call<P: Policies>(
+async fn send_child<P: Policies>(
     node: &Arc<Node<P>>,
     handle: u128,
     parent: &InFlightCall,
@@ -84,10 +87,10 @@
     body: &mut Incoming,
 ) -> Result<Response<AnswerBody>, Rejection> {
     if parent.depth >= MAX_DEPTH {
-        let detail = format!("chains of calls end at {MAX_DEPTH} hops");
+        let detail = format!("a call chain may have at most {MAX_DEPTH} hops");
         return Err(Rejection::new(Refusal::not_run(Reason::TooDeep), &detail));
     }
-    check_size(head, node.settings.max_header_bytes)?;
+    check_head_size(head, node.settings.max_header_bytes)?;
     let running = node.running();
     if running.revision == 0 {
         let refusal = Refusal::not_run(Reason::NotReady);
@@ -100,11 +103,11 @@
     let route = running
         .route(service, head.method.as_str(), path.path())
         .ok_or_else(|| Rejection::new(Refusal::not_run(Reason::NoRoute), "no route matches"))?;
-    let key = check_idempotency_key(&head.headers)?;
+    let idempotency_key = check_idempotency_key(&head.headers)?;
     let body = read_body(&node.settings, &head.headers, body).await?;
-    let deadline_us = own_deadline_us(node, &head.headers, parent.deadline_us)?;
+    let deadline_us = child_deadline_us(node, &head.headers, parent.deadline_us)?;
     strip(&mut head.headers, Some(&CALL));
-    let share = Share::new(node, parent.retry);
+    let allotment = ChildRetryAllotment::new(node, parent.retry);
     let call = Call {
         request_id: parent.request_id,
         workspace: parent.workspace,
@@ -115,7 +118,7 @@
         depth: parent.depth + 1,
         regions: running.regions_of(parent.workspace, None, path.path()),
         repeatable: route.repeatable,
-        retry: share.own,
+        retry: allotment.key,
     };
     let outbound = Outbound {
         method: head.method.clone(),
@@ -124,52 +127,52 @@
         headers: std::mem::take(&mut head.headers),
         body,
     };
-    let result = dispatch(node, &call, &outbound, key.as_deref()).await;
-    drop(share);
+    let result = dispatch(node, &call, &outbound, idempotency_key.as_deref()).await;
+    drop(allotment);
     if matches!(&result, Err(refusal) if refusal.exhausted) {
         node.calls().mark_exhausted(handle);
     }
     Ok(response_of(result))
 }
 
-/// A target may wait less for a child than its own caller waits for it.
-fn own_deadline_us<P: Policies>(
+/// Deadline of a child call: the parent's deadline, or an earlier one that the target set.
+fn child_deadline_us<P: Policies>(
     node: &Node<P>,
     headers: &HeaderMap,
-    parent_us: u64,
+    parent_deadline_us: u64,
 ) -> Result<u64, Rejection> {
     let Some(value) = headers.get(DEADLINE) else {
-        return Ok(parent_us);
+        return Ok(parent_deadline_us);
     };
-    let wait_ms = crate::ingress::parse_deadline_ms(value)?;
-    Ok(parent_us.min(node.timer.now_us() + wait_ms * 1000))
+    let deadline_ms = crate::ingress::parse_deadline_ms(value)?;
+    Ok(parent_deadline_us.min(node.timer.now_us() + deadline_ms * 1000))
 }
 
-/// Retry allotment that a child call holds on this node while it lives.
-struct Share<P: Policies> {
+/// Retry allotment of a child call on this node; returned to the parent when dropped.
+struct ChildRetryAllotment<P: Policies> {
     node: Arc<Node<P>>,
-    loan: ChildAllotmentKey,
-    own: CallKey,
+    parent_entry: ChildAllotmentKey,
+    key: CallKey,
 }
 
-impl<P: Policies> Share<P> {
+impl<P: Policies> ChildRetryAllotment<P> {
     fn new(node: &Arc<Node<P>>, parent: CallKey) -> Self {
         let mut retries = node.retries();
-        let loan = retries.allot_to_child(parent);
-        let own = retries.open(loan.allotment);
+        let child = retries.allot_to_child(parent);
+        let key = retries.open(child.allotment);
         drop(retries);
         Self {
             node: Arc::clone(node),
-            loan: loan.key,
-            own,
+            parent_entry: child.key,
+            key,
         }
     }
 }
 
-impl<P: Policies> Drop for Share<P> {
+impl<P: Policies> Drop for ChildRetryAllotment<P> {
     fn drop(&mut self) {
         let mut retries = self.node.retries();
-        let unspent = retries.close(self.own);
-        retries.return_unspent(self.loan, unspent);
+        let unspent = retries.close(self.key);
+        retries.return_unspent(self.parent_entry, unspent);
     }
 }
--- a/src/egress/mod.rs
+++ b/src/egress/mod.rs
@@ -1,4 +1,4 @@
-//! The own target's way out: its announcements and its downstream calls.
+//! Egress: receives the local target's notices and sends its downstream calls.
 
 mod announce;
 mod attempts;
@@ -17,19 +17,20 @@
     tokio::net::TcpListener,
 };
 
-const CONNECTION_COUNT: usize = 8192;
-const STREAM_COUNT: u32 = 1024;
+const MAX_CONNECTIONS: usize = 8192;
+/// Concurrent streams of an HTTP/2 connection.
+const MAX_STREAMS: u32 = 1024;
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Paths below it are the node's own.
-const OWN_PATHS: &str = "/-/";
+/// Prefix of the paths that the node handles itself.
+const NODE_PATH_PREFIX: &str = "/-/";
 
-/// Serves the own target until the node stops.
+/// Serves the local target until the node stops.
 pub async fn serve_egress<P: Policies>(node: Arc<Node<P>>, listener: TcpListener) {
     let limits = ListenerLimits {
-        connection_count: CONNECTION_COUNT,
+        connection_count: MAX_CONNECTIONS,
         header_bytes: node.settings.max_header_bytes,
         header_timeout: HEADER_TIMEOUT,
-        stream_count: STREAM_COUNT,
+        stream_count: MAX_STREAMS,
     };
     let stopped = node.stopped.clone();
     let handle = move |request| handle(Arc::clone(&node), request);
@@ -48,7 +49,7 @@
     node: Arc<Node<P>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    if P::Dialect::CALLS_LIKE_CALLERS || request.uri().path().starts_with(OWN_PATHS) {
+    if P::Dialect::CALLS_LIKE_CALLERS || request.uri().path().starts_with(NODE_PATH_PREFIX) {
         announce::handle(&node, request).await
     } else {
         child::handle(&node, request).await
--- a/src/exchange/body.rs
+++ b/src/exchange/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole ones and streamed ones.
+//! Bodies of responses, buffered or streamed, and reading of request bodies.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -12,36 +12,36 @@
     tokio::sync::mpsc,
 };
 
-/// Chunks of a streamed answer that wait for a slow reader.
-const STREAM_CHUNK_COUNT: usize = 8;
-/// What is read at most of a body that nobody wants.
-const DISCARD_BYTES: usize = 4 << 20;
-/// Time that this may take.
-const DISCARD_TIME: Duration = Duration::from_secs(1);
+/// Chunks of a streamed response that are buffered for a slow reader.
+const MAX_BUFFERED_CHUNKS: usize = 8;
+/// Most bytes read of a discarded body.
+const MAX_DISCARD_BYTES: usize = 4 << 20;
+/// Longest time spent reading a discarded body.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A streamed answer ended before its end.
+/// A streamed response ended before its body was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the answer was cut short")]
-pub struct BodyCut;
+#[error("the response ended before its body was complete")]
+pub struct TruncatedBody;
 
-/// Body of an answer.
+/// Body of a response.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// Held whole in memory.
+    /// Completely buffered in memory; `None` after it was sent.
     Whole(Option<Bytes>),
-    /// Passed on while it arrives; an error resets the receiver's stream, so
-    /// that a truncated answer never looks whole.
-    Streamed(mpsc::Receiver<Result<Bytes, BodyCut>>),
+    /// Forwarded while it arrives; an error resets the receiver's stream, so that a
+    /// truncated response never looks complete.
+    Streamed(mpsc::Receiver<Result<Bytes, TruncatedBody>>),
 }
 
 impl AnswerBody {
-    /// A body that is held whole.
+    /// Creates a buffered body.
     #[must_use]
     pub const fn whole(bytes: Bytes) -> Self {
         Self::Whole(Some(bytes))
     }
 
-    /// Whether the body is passed on while it arrives.
+    /// Whether the body is forwarded while it arrives.
     #[must_use]
     pub const fn is_streamed(&self) -> bool {
         matches!(self, Self::Streamed(_))
@@ -50,12 +50,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BodyCut;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match self.get_mut() {
             Self::Whole(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
@@ -84,19 +84,19 @@
     }
 }
 
-/// A body read up to a limit.
+/// A body that was read up to a size limit.
 #[derive(Debug)]
 pub enum Collected {
-    /// It ended within the limit.
+    /// The complete body, within the limit.
     Whole(Bytes),
-    /// It is larger; this was read so far.
+    /// The body exceeds the limit; the bytes read so far.
     Larger(Bytes),
 }
 
 /// Reads a body until its end or until it exceeds the limit.
 pub async fn collect(body: &mut Incoming, limit_bytes: usize) -> Result<Collected, hyper::Error> {
     let mut first = Bytes::new();
-    let mut more = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
             continue;
@@ -104,47 +104,47 @@
         if first.is_empty() {
             first = data;
         } else {
-            if more.is_empty() {
-                more.extend_from_slice(&first);
+            if buffer.is_empty() {
+                buffer.extend_from_slice(&first);
             }
-            more.extend_from_slice(&data);
+            buffer.extend_from_slice(&data);
         }
-        if first.len().max(more.len()) > limit_bytes {
-            return Ok(Collected::Larger(joined(first, more)));
+        if first.len().max(buffer.len()) > limit_bytes {
+            return Ok(Collected::Larger(join_chunks(first, buffer)));
         }
     }
-    Ok(Collected::Whole(joined(first, more)))
+    Ok(Collected::Whole(join_chunks(first, buffer)))
 }
 
-/// Reads what is left of the body of a request that is refused.
+/// Reads and drops the rest of a refused request's body.
 ///
-/// Closed with unread bytes, a connection is reset by the system, and the
-/// caller may see the reset instead of the refusal while it still sends.
+/// The system resets a connection that is closed with unread bytes. A caller that is
+/// still sending may then see the reset instead of the refusal.
 pub async fn discard(body: &mut Incoming) {
     let reading = async {
-        let mut left_bytes = DISCARD_BYTES;
+        let mut remaining_bytes = MAX_DISCARD_BYTES;
         while let Some(Ok(frame)) = body.frame().await {
             let read_bytes = frame.data_ref().map_or(0, Bytes::len);
-            match left_bytes.checked_sub(read_bytes) {
-                Some(left) => left_bytes = left,
+            match remaining_bytes.checked_sub(read_bytes) {
+                Some(remaining) => remaining_bytes = remaining,
                 None => return,
             }
         }
     };
-    let _ = tokio::time::timeout(DISCARD_TIME, reading).await;
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, reading).await;
 }
 
-fn joined(first: Bytes, more: BytesMut) -> Bytes {
-    if more.is_empty() {
+fn join_chunks(first: Bytes, buffer: BytesMut) -> Bytes {
+    if buffer.is_empty() {
         first
     } else {
-        more.freeze()
+        buffer.freeze()
     }
 }
 
-/// Passes on the rest of a large body until its end, its deadline or the
-/// reader's departure; `guard` is dropped afterwards, with whether the whole
-/// body arrived.
+/// Forwards a large body, `head` followed by `rest`, until it is complete, `limit` has
+/// passed or the receiver is closed. Then calls `done` with `guard` and whether the body
+/// is complete.
 pub fn pump<G: Send + 'static>(
     head: Bytes,
     mut rest: Incoming,
@@ -152,24 +152,24 @@
     guard: G,
     done: fn(G, bool),
 ) -> AnswerBody {
-    let (sender, receiver) = mpsc::channel(STREAM_CHUNK_COUNT);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     tokio::spawn(async move {
-        let passing = tokio::time::timeout(limit, pass_on(head, &mut rest, &sender));
-        let is_whole = passing.await.unwrap_or(false);
-        done(guard, is_whole);
-        if !is_whole {
-            // Without this error the closed channel would look like the
-            // regular end of the answer, and a truncated one like a whole.
-            let _ = sender.send(Err(BodyCut)).await;
+        let forwarding = tokio::time::timeout(limit, forward(head, &mut rest, &sender));
+        let is_complete = forwarding.await.unwrap_or(false);
+        done(guard, is_complete);
+        if !is_complete {
+            // Without this error the closed channel would look like the regular end of
+            // the body, and a truncated response would look complete.
+            let _ = sender.send(Err(TruncatedBody)).await;
         }
     });
     AnswerBody::Streamed(receiver)
 }
 
-async fn pass_on(
+async fn forward(
     head: Bytes,
     rest: &mut Incoming,
-    sender: &mpsc::Sender<Result<Bytes, BodyCut>>,
+    sender: &mpsc::Sender<Result<Bytes, TruncatedBody>>,
 ) -> bool {
     if sender.send(Ok(head)).await.is_err() {
         return false;
--- a/src/exchange/headers.rs
+++ b/src/exchange/headers.rs
@@ -1,4 +1,4 @@
-//! Names of the headers that nodes, callers and targets exchange.
+//! Names of the headers between callers, nodes and targets, and their removal.
 
 use hyper::{
     HeaderMap,
@@ -10,36 +10,36 @@
 
 /// Tenant key of a caller.
 pub const KEY: HeaderName = HeaderName::from_static("dogwood-key");
-/// Time that a caller waits, or that a target has left, in milliseconds.
+/// Time that a caller waits, or that remains for a target, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("dogwood-deadline-ms");
-/// Identity of a request that must not be executed twice.
+/// Idempotency key of a request that must not be executed twice.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Handle of the call that a target works on.
+/// Handle of the call that a target executes.
 pub const CALL: HeaderName = HeaderName::from_static("dogwood-call");
 /// Request context between nodes.
 pub const CONTEXT: HeaderName = HeaderName::from_static("dogwood-context");
-/// Proof that the context comes from a node of the fleet.
+/// Authenticates the context as sent by a node of the fleet.
 pub const AUTH: HeaderName = HeaderName::from_static("dogwood-auth");
-/// What a node tells about an attempt.
+/// Result of an attempt, as reported by the node that handled it.
 pub const ANSWER: HeaderName = HeaderName::from_static("dogwood-answer");
-/// Proof that the answer comes from a node of the fleet.
+/// Authenticates the response as sent by a node of the fleet.
 pub const ANSWER_AUTH: HeaderName = HeaderName::from_static("dogwood-answer-auth");
-/// Clock of a node that takes a context for too old, in milliseconds since the
-/// Unix epoch.
+/// Clock of a node that refused a context as too old, in milliseconds since the Unix
+/// epoch.
 pub const CLOCK: HeaderName = HeaderName::from_static("dogwood-clock");
-/// Outcome as told to callers.
+/// Outcome of a request, for callers.
 pub const OUTCOME: HeaderName = HeaderName::from_static("dogwood-outcome");
-/// Reason as told to callers.
+/// Reason of a refusal, for callers.
 pub const REASON: HeaderName = HeaderName::from_static("dogwood-reason");
-/// When to come back, more precise than Retry-After.
+/// Retry delay in milliseconds, more precise than `Retry-After`.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("dogwood-retry-after-ms");
-/// By the value `not-run`, a target says that it shed a request untouched.
+/// Set to `not-run` by a target that shed a request without executing any of it.
 ///
-/// Not the outcome header: a target that passes on the headers of a call of
-/// its own would claim by accident that it did not run itself.
+/// This is not the outcome header: a target that copies the response headers of its own
+/// downstream call would report by accident that it did not run itself.
 pub const SHED: HeaderName = HeaderName::from_static("dogwood-shed");
 
-const PREFIX: &str = "dogwood-";
+const INTERNAL_PREFIX: &str = "dogwood-";
 
 const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
@@ -52,18 +52,18 @@
     UPGRADE,
 ];
 
-/// Whether a caller may not set this header.
+/// Whether this is a header that callers may not set.
 #[must_use]
 pub fn is_internal(name: &HeaderName) -> bool {
-    name.as_str().starts_with(PREFIX) && name != KEY && name != DEADLINE
+    name.as_str().starts_with(INTERNAL_PREFIX) && name != KEY && name != DEADLINE
 }
 
-/// Removes all headers of the project, so that neither keys nor claims pass
-/// from callers to targets or back.
+/// Removes all `dogwood-` headers, so that neither tenant keys nor forged values are
+/// forwarded between callers and targets.
 pub fn strip_internal(headers: &mut HeaderMap) {
     let names: Vec<HeaderName> = headers
         .keys()
-        .filter(|name| name.as_str().starts_with(PREFIX))
+        .filter(|name| name.as_str().starts_with(INTERNAL_PREFIX))
         .cloned()
         .collect();
     for name in names {
@@ -71,16 +71,16 @@
     }
 }
 
-/// Removes headers that concern one connection only.
+/// Removes headers that apply to a single connection.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
     for name in &HOP_BY_HOP {
--- a/src/exchange/listener.rs
+++ b/src/exchange/listener.rs
@@ -1,8 +1,8 @@
-//! Accepting connections and serving them until the node drains.
+//! HTTP listeners: accept connections and serve them until the node drains.
 
 use {
     super::{
-        AnswerBody, BegunAhead, Pipeline,
+        AnswerBody, EarlyResponse, Pipeline,
         prefetch::{Unread, prefetch},
         refusal_response,
     },
@@ -35,51 +35,50 @@
     tokio_util::{sync::CancellationToken, task::TaskTracker},
 };
 
+/// Length of the queue of connections that are not accepted yet.
 const BACKLOG: u32 = 1024;
-/// Pause after a failed accept, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Time that a new connection gets for its first request when the listener
-/// closes.
+/// Delay after a failed accept, for example when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time that a new connection has for its first request when the listener closes.
 ///
-/// The library closes a connection without a request at once. One that was
-/// sent a moment before is then unread, and its caller sees a reset without
-/// knowing whether it ran.
+/// The library closes a connection without a request immediately. A request that was
+/// sent just before stays unread: its caller sees a reset and cannot tell whether it ran.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(250);
-/// Time for which an HTTP/1 connection must have been silent before it is ended
-/// when the listener closes.
+/// Time for which an HTTP/1 connection must be idle before it is closed when the listener
+/// closes.
 ///
-/// Callers keep connections open and send on them at any time. One that is
-/// ended just when a request is under way makes its caller see a reset.
-/// Answers carry `Connection: close` by then, so that connections in use end
-/// by their next answer, and those that stay silent are unlikely to be used.
-const SILENCE_BEFORE_END: Duration = Duration::from_millis(1000);
+/// Callers keep connections open and may send at any time. If a connection is closed while
+/// a request is in transit, the caller sees a reset. Responses contain `Connection: close`
+/// by then, so that active connections end with their next response, and idle ones are
+/// unlikely to be used again.
+const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(1000);
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
 const CONNECTION_WINDOW_BYTES: u32 = 8 << 20;
 
-/// What a listener grants its connections.
+/// Limits of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenerLimits {
-    /// Connections at a time.
+    /// Concurrent connections.
     pub connection_count: usize,
-    /// Headers of a request, in bytes.
+    /// Size of a request's headers, in bytes.
     pub header_bytes: usize,
-    /// Time for the headers of a request.
+    /// Time to receive the headers of a request.
     pub header_timeout: Duration,
-    /// Streams at a time on an HTTP/2 connection.
+    /// Concurrent streams of an HTTP/2 connection.
     pub stream_count: u32,
 }
 
-/// Answers the requests of a listener.
+/// Handles the requests of a listener.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// Answers a request.
+    /// Handles a request.
     fn handle(
         &self,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<AnswerBody>> + Send + 'static;
 
-    /// Begins a request without a body that waits behind another one of its
-    /// connection, unless it may be executed only once.
-    fn begin_ahead(&self, _head: &Parts) -> Option<BegunAhead> {
+    /// Starts a pipelined request without a body before its turn; `None` leaves it to its
+    /// turn. A request that may be executed only once must not be started early.
+    fn start_early(&self, _head: &Parts) -> Option<EarlyResponse> {
         None
     }
 }
@@ -97,7 +96,7 @@
     }
 }
 
-/// Listens on an address.
+/// Binds a listener to an address.
 pub fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -108,9 +107,9 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves connections until `closing`; then accepts none, tells the open ones
-/// to end (`Connection: close`, GOAWAY) and returns when all have, or when
-/// `stopped` cuts them off.
+/// Serves connections until `closing` is cancelled. Then accepts no further ones, shuts
+/// the open ones down gracefully (`Connection: close`, GOAWAY) and returns when all have
+/// ended; `stopped` aborts them.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     limits: ListenerLimits,
@@ -134,12 +133,12 @@
             () = stopped.cancelled() => break,
         };
         match accepted {
-            Ok((stream, _)) => connections.begin(stream),
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Ok((stream, _)) => connections.start(stream),
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
-    if let Err(error) = connections.begin_rest(listener) {
-        log::warn!(target: "dogwood", "connections of the last moment were not accepted: {error}");
+    if let Err(error) = connections.start_pending(listener) {
+        log::warn!(target: "dogwood", "cannot accept the pending connections of a closing listener: {error}");
     }
     connections.tasks.close();
     connections.tasks.wait().await;
@@ -156,12 +155,12 @@
 }
 
 impl<H: Handler> Connections<H> {
-    fn begin(&self, stream: TcpStream) {
+    fn start(&self, stream: TcpStream) {
         if self.open_count.load(Ordering::Relaxed) >= self.limits.connection_count {
-            self.tasks.spawn(refuse(stream));
+            self.tasks.spawn(refuse_connection(stream));
             return;
         }
-        let counted = Counted::new(Arc::clone(&self.open_count));
+        let open_connection = OpenConnection::new(Arc::clone(&self.open_count));
         let stopped = self.stopped.clone();
         let closing = self.closing.clone();
         let connection = serve_connection(stream, self.limits, closing, self.handler.clone());
@@ -170,13 +169,13 @@
                 () = stopped.cancelled() => {}
                 () = connection => {}
             }
-            drop(counted);
+            drop(open_connection);
         });
     }
 
-    /// Takes what the system has accepted for the listener, which would be reset
-    /// when it goes; the runtime learns of it later than the system.
-    fn begin_rest(&self, listener: TcpListener) -> std::io::Result<()> {
+    /// Starts the connections that the system has already accepted for the listener, which
+    /// are reset when it is dropped; the runtime is notified of them later.
+    fn start_pending(&self, listener: TcpListener) -> std::io::Result<()> {
         let listener = listener.into_std()?;
         loop {
             let stream = match listener.accept() {
@@ -185,7 +184,7 @@
                 Err(error) => return Err(error),
             };
             stream.set_nonblocking(true)?;
-            self.begin(TcpStream::from_std(stream)?);
+            self.start(TcpStream::from_std(stream)?);
         }
     }
 }
@@ -198,53 +197,56 @@
 ) {
     let _ = stream.set_nodelay(true);
     let usage = Arc::new(Usage::default());
-    let used = Arc::clone(&usage);
+    let service_usage = Arc::clone(&usage);
     let pipeline = Pipeline::new();
-    let (ahead_handler, ahead_pipeline) = (handler.clone(), pipeline.clone());
-    let turns = pipeline.clone();
+    let (early_handler, early_pipeline) = (handler.clone(), pipeline.clone());
+    let service_pipeline = pipeline.clone();
     let service = service_fn(move |request: Request<Incoming>| {
-        let working = Working::new(&used, request.version());
-        // The library keeps room for the future as long as the connection is open,
-        // and most connections are idle.
-        let answer = Box::pin(answer_in_turn(handler.clone(), turns.clone(), request));
+        let active_request = ActiveRequest::new(&service_usage, request.version());
+        // Boxed, since the library reserves space for the future as long as the connection
+        // is open, and most connections are idle.
+        let handling = Box::pin(handle_in_order(
+            handler.clone(),
+            service_pipeline.clone(),
+            request,
+        ));
         async move {
-            let answer = answer.await;
-            drop(working);
-            Ok::<_, Infallible>(answer)
+            let response = handling.await;
+            drop(active_request);
+            Ok::<_, Infallible>(response)
         }
     });
-    let builder = builder(limits);
-    let (stream, ahead) = prefetch(stream);
-    let unread = ahead.unread();
+    let builder = http_builder(limits);
+    let (stream, prefetch) = prefetch(stream);
+    let unread = prefetch.unread();
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    let mut caller_left = pin!(ahead.run(move |bytes| {
-        ahead_pipeline.read(bytes, |head| ahead_handler.begin_ahead(head));
+    let mut reading_ahead = pin!(prefetch.run(move |bytes| {
+        early_pipeline.record_bytes(bytes, |head| early_handler.start_early(head));
     }));
-    let mut has_left = false;
-    let mut first_request = pin!(tokio::time::sleep(limits.header_timeout));
-    let mut end = pin!(end_of_requests(&closing, &usage, &pipeline, &unread));
-    let mut is_checked = false;
-    let mut is_told = false;
+    let mut is_caller_gone = false;
+    let mut first_request_timeout = pin!(tokio::time::sleep(limits.header_timeout));
+    let mut closable = pin!(wait_until_closable(&closing, &usage, &pipeline, &unread));
+    let mut is_first_request_checked = false;
+    let mut is_shutting_down = false;
     loop {
         tokio::select! {
             _ = connection.as_mut() => return,
-            () = caller_left.as_mut(), if !has_left => {
-                has_left = true;
-                // Nobody will read the answer. Dropping the connection cancels
-                // the request with all that is done for it.
-                if usage.working_count() > 0 {
+            () = reading_ahead.as_mut(), if !is_caller_gone => {
+                is_caller_gone = true;
+                // Nobody will read the response. Dropping the connection cancels the
+                // request and its downstream calls.
+                if usage.active_count() > 0 {
                     return;
                 }
             }
-            () = end.as_mut(), if !is_told => {
-                is_told = true;
+            () = closable.as_mut(), if !is_shutting_down => {
+                is_shutting_down = true;
                 connection.as_mut().graceful_shutdown();
             }
-            // The library waits without limit for the bytes that tell the
-            // HTTP versions apart; silent connections would use up the limit
-            // on connections.
-            () = first_request.as_mut(), if !is_checked => {
-                is_checked = true;
+            // The library waits without a limit for the bytes that distinguish the HTTP
+            // versions; idle connections would exhaust the connection limit.
+            () = first_request_timeout.as_mut(), if !is_first_request_checked => {
+                is_first_request_checked = true;
                 if usage.request_count() == 0 {
                     return;
                 }
@@ -253,34 +255,34 @@
     }
 }
 
-/// Answers a request when its turn comes, or takes the answer of one that was
-/// begun before.
-async fn answer_in_turn<H: Handler>(
+/// Handles a request when its turn comes, or returns the response of one that was started
+/// early.
+async fn handle_in_order<H: Handler>(
     handler: H,
     pipeline: Pipeline,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let begun = pipeline.take(&request);
-    let mut answer = match begun {
-        Some(begun) => begun.await.unwrap_or_else(|error| {
-            log::error!(target: "dogwood", "a request that was begun ahead broke: {error}");
-            // It may have run: no status that promises otherwise.
+    let early_response = pipeline.take_response(&request);
+    let mut response = match early_response {
+        Some(early_response) => early_response.await.unwrap_or_else(|error| {
+            log::error!(target: "dogwood", "a request that was started early failed: {error}");
+            // It may have run, so the status must not imply that it did not.
             let mut response = Response::new(AnswerBody::whole(Bytes::new()));
             *response.status_mut() = StatusCode::BAD_GATEWAY;
             response
         }),
         None => handler.handle(request).await,
     };
-    pipeline.answered();
-    // Those behind it would be lost, though targets work on them.
-    if pipeline.has_begun() {
-        answer.headers_mut().remove(CONNECTION);
+    pipeline.record_response();
+    // With `Connection: close`, pipelined requests that targets already execute would be lost.
+    if pipeline.has_early_requests() {
+        response.headers_mut().remove(CONNECTION);
     }
-    answer
+    response
 }
 
-/// Waits until a connection shall take no further requests.
-async fn end_of_requests(
+/// Waits until the listener closes and a connection can be closed without losing a request.
+async fn wait_until_closable(
     closing: &CancellationToken,
     usage: &Usage,
     pipeline: &Pipeline,
@@ -288,64 +290,64 @@
 ) {
     closing.cancelled().await;
     pipeline.stop();
-    let mut silence = match usage.request_count() {
+    let mut idle_time = match usage.request_count() {
         0 => FIRST_REQUEST_GRACE,
-        _ => SILENCE_BEFORE_END,
+        _ => IDLE_BEFORE_CLOSE,
     };
-    // HTTP/2 says by GOAWAY which requests it still takes.
+    // In HTTP/2, GOAWAY states which requests are still accepted.
     while !usage.is_http2.load(Ordering::Relaxed) {
-        let before_count = usage.request_count();
-        tokio::time::sleep(silence).await;
-        let is_silent = usage.request_count() == before_count && !unread.has_bytes();
-        if is_silent && !pipeline.has_begun() {
+        let previous_count = usage.request_count();
+        tokio::time::sleep(idle_time).await;
+        let is_idle = usage.request_count() == previous_count && !unread.has_bytes();
+        if is_idle && !pipeline.has_early_requests() {
             return;
         }
-        silence = SILENCE_BEFORE_END;
+        idle_time = IDLE_BEFORE_CLOSE;
     }
 }
 
-/// What came over a connection so far.
+/// Requests of a connection so far.
 #[derive(Debug, Default)]
 struct Usage {
-    requests: AtomicUsize,
-    working: AtomicUsize,
+    request_count: AtomicUsize,
+    active_count: AtomicUsize,
     is_http2: AtomicBool,
 }
 
 impl Usage {
-    fn record(&self, version: Version) {
-        self.requests.fetch_add(1, Ordering::Relaxed);
+    fn record_request(&self, version: Version) {
+        self.request_count.fetch_add(1, Ordering::Relaxed);
         self.is_http2
             .store(version == Version::HTTP_2, Ordering::Relaxed);
     }
 
     fn request_count(&self) -> usize {
-        self.requests.load(Ordering::Relaxed)
+        self.request_count.load(Ordering::Relaxed)
     }
 
-    fn working_count(&self) -> usize {
-        self.working.load(Ordering::Relaxed)
+    fn active_count(&self) -> usize {
+        self.active_count.load(Ordering::Relaxed)
     }
 }
 
-/// Counts a request as worked on while it lives.
-struct Working(Arc<Usage>);
+/// Counts a request as active until it is dropped.
+struct ActiveRequest(Arc<Usage>);
 
-impl Working {
+impl ActiveRequest {
     fn new(usage: &Arc<Usage>, version: Version) -> Self {
-        usage.record(version);
-        usage.working.fetch_add(1, Ordering::Relaxed);
+        usage.record_request(version);
+        usage.active_count.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(usage))
     }
 }
 
-impl Drop for Working {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.0.working.fetch_sub(1, Ordering::Relaxed);
+        self.0.active_count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-fn builder(limits: ListenerLimits) -> auto::Builder<TokioExecutor> {
+fn http_builder(limits: ListenerLimits) -> auto::Builder<TokioExecutor> {
     let mut builder = auto::Builder::new(TokioExecutor::new());
     builder
         .http1()
@@ -356,8 +358,8 @@
         .http2()
         .timer(TokioTimer::new())
         .max_concurrent_streams(limits.stream_count)
-        // A node that cancels much at once is no attacker; the default of 20
-        // would end its connection with everything else on it.
+        // A peer that cancels many requests at once is not an attacker. The default limit
+        // of 20 would close its connection and fail all other requests on it.
         .max_pending_accept_reset_streams(limits.stream_count as usize)
         .initial_stream_window_size(STREAM_WINDOW_BYTES)
         .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
@@ -365,35 +367,36 @@
     builder
 }
 
-async fn refuse(mut stream: TcpStream) {
+async fn refuse_connection(mut stream: TcpStream) {
     let refusal = Refusal::not_run(Reason::TooManyConnections);
-    let (parts, body) = refusal_response(refusal, "this node has no connections left").into_parts();
+    let (parts, body) =
+        refusal_response(refusal, "this node has reached its connection limit").into_parts();
     let Ok(body) = body.collect().await else {
         return;
     };
     let body = body.to_bytes();
-    let mut text = format!("HTTP/1.1 {}\r\nconnection: close\r\n", parts.status);
-    text.push_str(&format!("content-length: {}\r\n", body.len()));
+    let mut head = format!("HTTP/1.1 {}\r\nconnection: close\r\n", parts.status);
+    head.push_str(&format!("content-length: {}\r\n", body.len()));
     for (name, value) in &parts.headers {
-        text.push_str(&format!("{name}: {}\r\n", value.to_str().unwrap_or("")));
+        head.push_str(&format!("{name}: {}\r\n", value.to_str().unwrap_or("")));
     }
-    text.push_str("\r\n");
-    let _ = stream.write_all(text.as_bytes()).await;
+    head.push_str("\r\n");
+    let _ = stream.write_all(head.as_bytes()).await;
     let _ = stream.write_all(&body).await;
     let _ = stream.shutdown().await;
 }
 
-/// Counts an open connection as long as it lives.
-struct Counted(Arc<AtomicUsize>);
+/// Counts an open connection until it is dropped.
+struct OpenConnection(Arc<AtomicUsize>);
 
-impl Counted {
+impl OpenConnection {
     fn new(count: Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -1,21 +1,21 @@
-//! HTTP requests and answers as they pass through a node.
+//! HTTP requests and responses that pass through a node: listeners, headers and bodies.
 
-mod answer;
 mod body;
 mod headers;
 mod listener;
 mod pipeline;
 mod prefetch;
+mod response;
 
 pub use {
-    answer::{Answer, refusal_response, response_of},
-    body::{AnswerBody, BodyCut, Collected, collect, discard, pump},
+    body::{AnswerBody, Collected, TruncatedBody, collect, discard, pump},
     headers::{
         ANSWER, ANSWER_AUTH, AUTH, CALL, CLOCK, CONTEXT, DEADLINE, IDEMPOTENCY_KEY, KEY, OUTCOME,
         REASON, RETRY_AFTER_MS, SHED, is_internal, strip_hop_by_hop, strip_internal,
     },
     listener::{Handler, ListenerLimits, bind, serve},
-    pipeline::{BegunAhead, Pipeline},
+    pipeline::{EarlyResponse, Pipeline},
+    response::{Answer, refusal_response, response_of},
 };
 
 use {
@@ -23,19 +23,19 @@
     hyper::{HeaderMap, Method, http::uri::PathAndQuery},
 };
 
-/// A request that was read whole and checked, ready to be sent on.
+/// A request that was read completely and validated, ready to be sent.
 ///
-/// Its headers carry neither the caller's key nor headers between nodes.
+/// Its headers contain neither the tenant key nor headers between nodes.
 #[derive(Debug, Clone)]
 pub struct Outbound {
     /// Method.
     pub method: Method,
-    /// Host that the caller addressed, where targets are told of it.
+    /// Host that the caller addressed, if the dialect forwards it to targets.
     pub host: Option<String>,
-    /// Path below the service, with the query.
+    /// Path below the service, including the query.
     pub path: PathAndQuery,
-    /// Headers for the target.
+    /// Headers to send to the target.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
--- a/src/exchange/pipeline.rs
+++ b/src/exchange/pipeline.rs
@@ -1,10 +1,9 @@
-//! Requests that callers send before the one before is answered.
+//! HTTP/1 pipelining: requests sent before the response to the previous one.
 //!
-//! Pattern: callers that send several requests on one connection at once. The
-//! HTTP library begins each when the one before is answered, so that the second
-//! waits as long as the first takes, and is answered late, or after its route's
-//! time, while targets stand idle. Requests that may be executed again are begun
-//! when they are read; the library still answers them in their order.
+//! The HTTP library starts a request only after the previous response, so a pipelined
+//! request is delayed, possibly beyond its route's deadline, while targets are idle.
+//! Repeatable requests are therefore started as soon as they are read; the library
+//! still sends the responses in order.
 
 use {
     super::AnswerBody,
@@ -21,17 +20,16 @@
     tokio_util::task::AbortOnDropHandle,
 };
 
-/// A request that was begun ahead of its turn; dropping it cancels it.
-pub type BegunAhead = AbortOnDropHandle<Response<AnswerBody>>;
-
-/// Requests of a connection that are worked on ahead of their turn at most.
-const BEGUN_COUNT: usize = 4;
-/// Longest head of a request that is looked at ahead.
-const HEAD_BYTES: usize = 16 << 10;
-const HEADER_COUNT: usize = 64;
-/// Headers after which a request is not alone on its connection, or not done with
-/// its head.
-const UNUSUAL: [hyper::header::HeaderName; 5] = [
+/// Response of a pipelined request that was started early; dropping it cancels the request.
+pub type EarlyResponse = AbortOnDropHandle<Response<AnswerBody>>;
+
+/// Most requests of a connection that are started early at a time.
+const MAX_EARLY_REQUESTS: usize = 4;
+/// Longest request head that is parsed early.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_HEADERS: usize = 64;
+/// Headers of requests that have a body or change the state of the connection.
+const UNSUPPORTED_HEADERS: [hyper::header::HeaderName; 5] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -39,99 +37,109 @@
     UPGRADE,
 ];
 
+/// A request that was started early.
 #[derive(Debug)]
-struct Begun {
-    /// Place among the requests of the connection.
-    place: u64,
+struct EarlyRequest {
+    /// Index among the requests of the connection.
+    index: u64,
     uri: Uri,
     headers: HeaderMap,
-    answer: BegunAhead,
+    response: EarlyResponse,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    unread: BytesMut,
-    /// Something came whose end is not looked for here; nothing more is begun.
-    is_over: bool,
+    unparsed: BytesMut,
+    /// No further requests are started early, for example after one with a body.
+    is_stopped: bool,
     read_count: u64,
     taken_count: u64,
-    answered_count: u64,
-    begun: VecDeque<Begun>,
+    response_count: u64,
+    early_requests: VecDeque<EarlyRequest>,
 }
 
-/// The requests of one connection by their order; clones share them.
+/// The requests of one connection, in order; clones share the state.
 #[derive(Debug, Clone, Default)]
 pub struct Pipeline {
     state: Arc<Mutex<State>>,
 }
 
 impl Pipeline {
-    /// A connection without requests.
+    /// Creates the state of a connection without requests.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Bytes came from the caller; `begin` starts a request that waits behind
-    /// others, or declines.
-    pub fn read(&self, bytes: &[u8], begin: impl Fn(&Parts) -> Option<BegunAhead>) {
+    /// Parses bytes read from the caller. `start_early` starts a request that waits for
+    /// others, or returns `None` to leave it to its turn.
+    pub fn record_bytes(
+        &self,
+        bytes: &[u8],
+        start_early: impl Fn(&Parts) -> Option<EarlyResponse>,
+    ) {
         let mut state = self.locked();
-        if state.is_over {
+        if state.is_stopped {
             return;
         }
-        state.unread.extend_from_slice(bytes);
-        while !state.unread.is_empty() {
-            match head_of(&state.unread) {
-                Head::Whole(parts, length) => {
-                    state.unread.advance(length);
-                    state.enter(&parts, &begin);
+        state.unparsed.extend_from_slice(bytes);
+        while !state.unparsed.is_empty() {
+            match parse_head(&state.unparsed) {
+                Head::Complete(parts, length) => {
+                    state.unparsed.advance(length);
+                    state.add_request(&parts, &start_early);
                 }
-                Head::Partial if state.unread.len() <= HEAD_BYTES => return,
-                Head::Partial | Head::Unusual => {
-                    state.is_over = true;
-                    state.unread = BytesMut::new();
+                Head::Partial if state.unparsed.len() <= MAX_HEAD_BYTES => return,
+                Head::Partial | Head::Unsupported => {
+                    state.is_stopped = true;
+                    state.unparsed = BytesMut::new();
                     return;
                 }
             }
         }
-        // Most connections are idle.
-        state.unread = BytesMut::new();
+        // Frees the memory: most connections are idle.
+        state.unparsed = BytesMut::new();
     }
 
-    /// The library's turn came to this request; its answer, if it was begun.
+    /// Returns the response of this request, the next one in order, if it was started
+    /// early. Called when the library starts the request.
     #[must_use]
-    pub fn take<B>(&self, request: &Request<B>) -> Option<BegunAhead> {
+    pub fn take_response<B>(&self, request: &Request<B>) -> Option<EarlyResponse> {
         let mut state = self.locked();
-        let place = state.taken_count;
+        let index = state.taken_count;
         state.taken_count += 1;
-        while state.begun.front().is_some_and(|begun| begun.place < place) {
-            state.begun.pop_front();
+        while state
+            .early_requests
+            .front()
+            .is_some_and(|early| early.index < index)
+        {
+            state.early_requests.pop_front();
         }
-        if state.begun.front()?.place != place {
+        if state.early_requests.front()?.index != index {
             return None;
         }
-        let begun = state.begun.pop_front()?;
-        // Read differently than the library does, it is not begun as another.
-        let is_same = begun.uri == *request.uri() && begun.headers == *request.headers();
-        state.is_over |= !is_same;
-        is_same.then_some(begun.answer)
+        let early = state.early_requests.pop_front()?;
+        // A request that the library parsed differently must not get this response.
+        let is_same = early.uri == *request.uri() && early.headers == *request.headers();
+        state.is_stopped |= !is_same;
+        is_same.then_some(early.response)
     }
 
-    /// A request was answered.
-    pub fn answered(&self) {
-        self.locked().answered_count += 1;
+    /// Records that the response to the current request is ready.
+    pub fn record_response(&self) {
+        self.locked().response_count += 1;
     }
 
-    /// Whether requests that wait for their turn are worked on. The connection
-    /// must not be closed before they are answered.
+    /// Whether requests that were started early wait for their turn. The connection must
+    /// not be closed before their responses are sent.
     #[must_use]
-    pub fn has_begun(&self) -> bool {
-        !self.locked().begun.is_empty()
+    pub fn has_early_requests(&self) -> bool {
+        !self.locked().early_requests.is_empty()
     }
 
-    /// Begins nothing more ahead.
+    /// Starts no further requests early.
     pub fn stop(&self) {
-        self.locked().is_over = true;
+        self.locked().is_stopped = true;
     }
 
     fn locked(&self) -> MutexGuard<'_, State> {
@@ -140,49 +148,54 @@
 }
 
 impl State {
-    fn enter(&mut self, parts: &Parts, begin: &impl Fn(&Parts) -> Option<BegunAhead>) {
-        let place = self.read_count;
+    fn add_request(
+        &mut self,
+        parts: &Parts,
+        start_early: &impl Fn(&Parts) -> Option<EarlyResponse>,
+    ) {
+        let index = self.read_count;
         self.read_count += 1;
-        // The library begins it at once.
-        let is_next = place <= self.answered_count;
-        if is_next || self.begun.len() >= BEGUN_COUNT {
+        // The library starts it immediately.
+        let is_next = index <= self.response_count;
+        if is_next || self.early_requests.len() >= MAX_EARLY_REQUESTS {
             return;
         }
-        if let Some(answer) = begin(parts) {
-            self.begun.push_back(Begun {
-                place,
+        if let Some(response) = start_early(parts) {
+            self.early_requests.push_back(EarlyRequest {
+                index,
                 uri: parts.uri.clone(),
                 headers: parts.headers.clone(),
-                answer,
+                response,
             });
         }
     }
 }
 
 enum Head {
-    Whole(Box<Parts>, usize),
+    /// The head and its length in bytes.
+    Complete(Box<Parts>, usize),
     Partial,
-    /// A body, another protocol or nothing that can be read.
-    Unusual,
+    /// A request with a body, another protocol or malformed.
+    Unsupported,
 }
 
-fn head_of(bytes: &[u8]) -> Head {
-    let mut headers = [httparse::EMPTY_HEADER; HEADER_COUNT];
+fn parse_head(bytes: &[u8]) -> Head {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let length = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Head::Partial,
-        Err(_) => return Head::Unusual,
+        Err(_) => return Head::Unsupported,
     };
-    match parts_of(&parsed) {
-        Some(parts) => Head::Whole(Box::new(parts), length),
-        None => Head::Unusual,
+    match supported_parts(&parsed) {
+        Some(parts) => Head::Complete(Box::new(parts), length),
+        None => Head::Unsupported,
     }
 }
 
-fn parts_of(parsed: &httparse::Request<'_, '_>) -> Option<Parts> {
-    let is_plain = parsed.method == Some(Method::GET.as_str()) && parsed.version == Some(1);
-    if !is_plain {
+fn supported_parts(parsed: &httparse::Request<'_, '_>) -> Option<Parts> {
+    let is_supported = parsed.method == Some(Method::GET.as_str()) && parsed.version == Some(1);
+    if !is_supported {
         return None;
     }
     let mut request = Request::builder()
@@ -192,6 +205,8 @@
         request = request.header(header.name, header.value);
     }
     let (parts, ()) = request.body(()).ok()?.into_parts();
-    let is_unusual = UNUSUAL.iter().any(|name| parts.headers.contains_key(name));
-    (!is_unusual).then_some(parts)
+    let is_unsupported = UNSUPPORTED_HEADERS
+        .iter()
+        .any(|name| parts.headers.contains_key(name));
+    (!is_unsupported).then_some(parts)
 }
--- a/src/exchange/prefetch.rs
+++ b/src/exchange/prefetch.rs
@@ -1,9 +1,8 @@
 //! Reads a caller's connection ahead of the HTTP library.
 //!
-//! The library reads nothing while a request is being answered and another one
-//! waits behind it in its buffer. It would not notice that the caller left,
-//! and targets would work for nobody; and callers whose next request stays
-//! unread for a second give it up.
+//! While a request is served and another one waits in its buffer, the library reads
+//! nothing. It would not notice that the caller disconnected, and targets would do wasted
+//! work. Callers also abandon a request that stays unread for a second.
 
 use {
     bytes::{Buf, BytesMut},
@@ -25,17 +24,18 @@
     },
 };
 
-/// Bytes that are read ahead at most. A caller that sends more waits until the
-/// requests before are answered.
-const AHEAD_BYTES: usize = 64 << 10;
-const READ_BYTES: usize = 4 << 10;
+/// Most bytes that are read ahead. A caller that sends more waits until previous requests
+/// are served.
+const MAX_AHEAD_BYTES: usize = 64 << 10;
+/// Buffer space for one read.
+const READ_CHUNK_BYTES: usize = 4 << 10;
 
 #[derive(Debug, Default)]
 struct State {
     ahead: BytesMut,
-    is_ended: bool,
+    is_closed: bool,
     error: Option<io::ErrorKind>,
-    reader: Option<Waker>,
+    waker: Option<Waker>,
 }
 
 #[derive(Debug, Default)]
@@ -50,21 +50,21 @@
     }
 }
 
-/// The connection as the HTTP library sees it.
+/// The stream that is given to the HTTP library.
 #[derive(Debug)]
 pub struct Prefetched {
     shared: Arc<Shared>,
     writer: OwnedWriteHalf,
 }
 
-/// The side that reads ahead.
+/// Task state that reads ahead.
 #[derive(Debug)]
 pub struct Prefetch {
     shared: Arc<Shared>,
     reader: Arc<OwnedReadHalf>,
 }
 
-/// Tells of bytes that the library has not read yet.
+/// Checks for bytes that the library has not read yet.
 #[derive(Debug)]
 pub struct Unread {
     shared: Arc<Shared>,
@@ -74,7 +74,7 @@
 impl Unread {
     /// Whether the caller sent bytes that the library has not read.
     ///
-    /// Asks the system: the runtime learns of them later.
+    /// Checks the socket itself, since the runtime is notified of new bytes later.
     #[must_use]
     pub fn has_bytes(&self) -> bool {
         if !self.shared.locked().ahead.is_empty() {
@@ -82,14 +82,14 @@
         }
         let stream: &TcpStream = (*self.reader).as_ref();
         let mut byte = [MaybeUninit::uninit()];
-        // Without bytes the socket, which does not block, tells an error.
+        // The socket is non-blocking: peeking fails if there are no bytes.
         SockRef::from(stream)
             .peek(&mut byte)
             .is_ok_and(|length| length > 0)
     }
 }
 
-/// Splits a connection into the part for the library and the part that reads
+/// Splits a connection into the stream for the library and the task state that reads
 /// ahead for it.
 #[must_use]
 pub fn prefetch(stream: TcpStream) -> (Prefetched, Prefetch) {
@@ -104,7 +104,7 @@
 }
 
 impl Prefetch {
-    /// Tells of bytes on this connection that the library has not read yet.
+    /// Returns a check for bytes of this connection that the library has not read yet.
     #[must_use]
     pub fn unread(&self) -> Unread {
         Unread {
@@ -113,45 +113,46 @@
         }
     }
 
-    /// Reads until the caller has closed its side; `on_read` sees what came.
+    /// Reads until the caller closes its side or an error occurs; `on_read` gets the bytes
+    /// of each read.
     pub async fn run(self, on_read: impl Fn(&[u8])) {
         loop {
             self.wait_for_room().await;
             let result = self.reader.readable().await;
             let result = result.and_then(|()| self.read(&on_read));
             match result {
-                Ok(0) => return self.end(None),
+                Ok(0) => return self.close(None),
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(error) => return self.end(Some(error.kind())),
+                Err(error) => return self.close(Some(error.kind())),
             }
         }
     }
 
     async fn wait_for_room(&self) {
-        while self.shared.locked().ahead.len() >= AHEAD_BYTES {
+        while self.shared.locked().ahead.len() >= MAX_AHEAD_BYTES {
             self.shared.has_room.notified().await;
         }
     }
 
     fn read(&self, on_read: &impl Fn(&[u8])) -> io::Result<usize> {
         let mut state = self.shared.locked();
-        state.ahead.reserve(READ_BYTES);
-        let before_bytes = state.ahead.len();
+        state.ahead.reserve(READ_CHUNK_BYTES);
+        let previous_bytes = state.ahead.len();
         let read_bytes = self.reader.try_read_buf(&mut state.ahead)?;
-        on_read(&state.ahead[before_bytes..]);
-        if let Some(reader) = state.reader.take() {
-            reader.wake();
+        on_read(&state.ahead[previous_bytes..]);
+        if let Some(waker) = state.waker.take() {
+            waker.wake();
         }
         Ok(read_bytes)
     }
 
-    fn end(&self, error: Option<io::ErrorKind>) {
+    fn close(&self, error: Option<io::ErrorKind>) {
         let mut state = self.shared.locked();
-        state.is_ended = true;
+        state.is_closed = true;
         state.error = error;
-        if let Some(reader) = state.reader.take() {
-            reader.wake();
+        if let Some(waker) = state.waker.take() {
+            waker.wake();
         }
     }
 }
@@ -168,7 +169,7 @@
             buffer.put_slice(&state.ahead[..length]);
             state.ahead.advance(length);
             if state.ahead.is_empty() {
-                // Gives the memory back; most connections are idle.
+                // Frees the memory: most connections are idle.
                 state.ahead = BytesMut::new();
             }
             self.shared.has_room.notify_one();
@@ -177,10 +178,10 @@
         if let Some(kind) = state.error {
             return Poll::Ready(Err(kind.into()));
         }
-        if state.is_ended {
+        if state.is_closed {
             return Poll::Ready(Ok(()));
         }
-        state.reader = Some(context.waker().clone());
+        state.waker = Some(context.waker().clone());
         Poll::Pending
     }
 }
--- a/src/exchange/answer.rs
+++ b/src/exchange/response.rs
@@ -1,4 +1,4 @@
-//! Answers on their way back, and how refusals look to callers.
+//! Responses to callers: a target's response or a refusal.
 
 use {
     super::{AnswerBody, OUTCOME, REASON, RETRY_AFTER_MS, strip_hop_by_hop, strip_internal},
@@ -10,22 +10,22 @@
     },
 };
 
-/// When to come back after a failure that names no time of its own.
+/// Retry delay of transient failures that set none.
 const DEFAULT_RETRY_AFTER_MS: u32 = 1000;
 
-/// A target's answer.
+/// A target's response on its way back to the caller.
 #[derive(Debug)]
 pub struct Answer {
     /// Status.
     pub status: StatusCode,
-    /// Headers of the target, without those of the project or the connection.
+    /// Headers of the target, without internal and connection headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: AnswerBody,
 }
 
 impl Answer {
-    /// An answer with headers as they came from a connection.
+    /// Creates a response; removes internal and connection headers.
     #[must_use]
     pub fn new(status: StatusCode, mut headers: HeaderMap, body: AnswerBody) -> Self {
         strip_hop_by_hop(&mut headers);
@@ -33,7 +33,7 @@
         if !body.is_streamed()
             && !matches!(&body, AnswerBody::Whole(Some(bytes)) if bytes.is_empty())
         {
-            // The length of a whole body is known and is set anew.
+            // The server sets the length of a buffered body.
             headers.remove(CONTENT_LENGTH);
         }
         Self {
@@ -44,14 +44,14 @@
     }
 }
 
-/// Response for whoever called: the target's answer or a refusal.
+/// Response to the sender of a request: the target's response or a refusal.
 #[must_use]
 pub fn response_of(result: Result<Answer, Refusal>) -> Response<AnswerBody> {
     match result {
-        Ok(answer) => {
-            let mut response = Response::new(answer.body);
-            *response.status_mut() = answer.status;
-            *response.headers_mut() = answer.headers;
+        Ok(forwarded) => {
+            let mut response = Response::new(forwarded.body);
+            *response.status_mut() = forwarded.status;
+            *response.headers_mut() = forwarded.headers;
             response
                 .headers_mut()
                 .insert(OUTCOME, HeaderValue::from_static(Outcome::Whole.name()));
@@ -61,7 +61,7 @@
     }
 }
 
-/// Body of a refusal.
+/// JSON body of a refusal.
 #[derive(serde::Serialize)]
 struct RefusalBody<'a> {
     outcome: &'a str,
@@ -70,7 +70,7 @@
     retry_after_ms: u32,
 }
 
-/// Response for a refusal; `detail` says what is wrong with the request.
+/// Response for a refusal; `detail` explains what is wrong with the request.
 #[must_use]
 pub fn refusal_response(refusal: Refusal, detail: &str) -> Response<AnswerBody> {
     let retry_after_ms = retry_after_ms(refusal);
@@ -102,8 +102,8 @@
 }
 
 fn retry_after_ms(refusal: Refusal) -> u32 {
-    let is_passing = matches!(refusal.reason.status(), 429 | 502..=504);
-    if refusal.retry_after_ms == 0 && is_passing {
+    let is_transient = matches!(refusal.reason.status(), 429 | 502..=504);
+    if refusal.retry_after_ms == 0 && is_transient {
         DEFAULT_RETRY_AFTER_MS
     } else {
         refusal.retry_after_ms
--- a/src/ingress/checks.rs
+++ b/src/ingress/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of what callers and targets send, before anything is decided.
+//! Validates requests of callers and targets before they are routed.
 
 use {
     crate::{
@@ -22,26 +22,25 @@
     std::time::Duration,
 };
 
-/// Longest Idempotency-Key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
-/// Longest deadline that a caller may state; one day.
+/// Longest deadline that a caller may set: one day.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// Ways to write characters of a path that a target may resolve differently
-/// than the route match did.
-const AMBIGUOUS: [&str; 3] = ["%2e", "%2f", "%5c"];
+/// Percent-encoded characters of a path that a target may decode although the
+/// route match does not.
+const AMBIGUOUS_ENCODINGS: [&str; 3] = ["%2e", "%2f", "%5c"];
 
-/// A request that is refused with words for whoever sent it.
+/// A refused request, with an explanation for its sender.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {detail}", refusal.reason)]
 pub struct Rejection {
-    /// The refusal.
+    /// Outcome, reason and retry delay.
     pub refusal: Refusal,
-    /// What is wrong and what would be right.
+    /// What is wrong with the request and what would be valid.
     pub detail: String,
 }
 
 impl Rejection {
-    /// A refusal with its words.
+    /// Creates a rejection.
     #[must_use]
     pub fn new(refusal: Refusal, detail: &str) -> Self {
         Self {
@@ -50,17 +49,17 @@
         }
     }
 
-    fn bad(detail: &str) -> Self {
+    fn bad_request(detail: &str) -> Self {
         Self::new(Refusal::not_run(Reason::BadRequest), detail)
     }
 
-    fn large(detail: &str) -> Self {
+    fn too_large(detail: &str) -> Self {
         Self::new(Refusal::not_run(Reason::TooLarge), detail)
     }
 }
 
-/// Checks the size of the request's head.
-pub fn check_size(head: &Parts, max_bytes: usize) -> Result<(), Rejection> {
+/// Checks that path and headers together have at most `max_bytes`.
+pub fn check_head_size(head: &Parts, max_bytes: usize) -> Result<(), Rejection> {
     let header_bytes: usize = head
         .headers
         .iter()
@@ -71,21 +70,21 @@
         .path_and_query()
         .map_or(0, |path| path.as_str().len());
     if header_bytes + path_bytes > max_bytes {
-        let detail = format!("path and headers together may have {max_bytes} bytes");
-        return Err(Rejection::large(&detail));
+        let detail = format!("path and headers together may have at most {max_bytes} bytes");
+        return Err(Rejection::too_large(&detail));
     }
     Ok(())
 }
 
-/// Service and path below it of a request for `/{service}/{path}`.
+/// Splits `/{service}/{path}` into the service and the path below it, with the query.
 pub fn split_path(running: &Running, uri: &Uri) -> Result<(ServiceKey, PathAndQuery), Rejection> {
     check_path(uri.path())?;
-    let whole = uri.path_and_query().map_or("/", PathAndQuery::as_str);
-    let whole = whole
+    let full_path = uri.path_and_query().map_or("/", PathAndQuery::as_str);
+    let full_path = full_path
         .strip_prefix('/')
-        .ok_or_else(|| Rejection::bad("the path must have the form /{service}/{path}"))?;
-    let end = whole.find(['/', '?']).unwrap_or(whole.len());
-    let (name, rest) = whole.split_at(end);
+        .ok_or_else(|| Rejection::bad_request("the path must have the form /{service}/{path}"))?;
+    let name_end = full_path.find(['/', '?']).unwrap_or(full_path.len());
+    let (name, rest) = full_path.split_at(name_end);
     let service = running.service_names.get(name).ok_or_else(|| {
         let refusal = Refusal::not_run(Reason::NoRoute);
         Rejection::new(refusal, "no service of this name is configured")
@@ -95,29 +94,33 @@
     } else {
         format!("/{rest}")
     };
-    let path = PathAndQuery::try_from(rest).map_err(|_| Rejection::bad("malformed path"))?;
+    let path =
+        PathAndQuery::try_from(rest).map_err(|_| Rejection::bad_request("malformed path"))?;
     Ok((*service, path))
 }
 
-/// Refuses paths that a target may read differently than the route match: an
-/// order could otherwise travel as a browsing request.
+/// Refuses paths that a target may resolve differently than the route match: an
+/// order could otherwise be sent in the class of a browsing request.
 fn check_path(path: &str) -> Result<(), Rejection> {
     let lower = path.to_ascii_lowercase();
-    let is_ambiguous = AMBIGUOUS.iter().any(|code| lower.contains(code)) || lower.contains('\\');
+    let is_ambiguous = AMBIGUOUS_ENCODINGS
+        .iter()
+        .any(|encoding| lower.contains(encoding))
+        || lower.contains('\\');
     let mut segments = path.split('/').skip(1).peekable();
     let mut has_odd_segment = false;
     while let Some(segment) = segments.next() {
-        let is_empty_inside = segment.is_empty() && segments.peek().is_some();
-        has_odd_segment |= matches!(segment, "." | "..") || is_empty_inside;
+        let is_empty_inner = segment.is_empty() && segments.peek().is_some();
+        has_odd_segment |= matches!(segment, "." | "..") || is_empty_inner;
     }
     if is_ambiguous || has_odd_segment {
-        let detail = "the path may hold no empty, '.' or '..' segments, '\\', %2e, %2f or %5c";
-        return Err(Rejection::bad(detail));
+        let detail = "the path must not contain empty, '.' or '..' segments, '\\', %2e, %2f or %5c";
+        return Err(Rejection::bad_request(detail));
     }
     Ok(())
 }
 
-/// Deadline header in milliseconds.
+/// Parses the deadline header: 1 to 86,400,000 milliseconds, digits only.
 pub fn parse_deadline_ms(value: &HeaderValue) -> Result<u64, Rejection> {
     let number = value
         .to_str()
@@ -128,33 +131,34 @@
         .filter(|number| (1..=MAX_DEADLINE_MS).contains(number))
         .ok_or_else(|| {
             let detail = "dogwood-deadline-ms must be a whole number from 1 to 86400000";
-            Rejection::bad(detail)
+            Rejection::bad_request(detail)
         })
 }
 
-/// The Idempotency-Key, if there is one and only one.
+/// Returns the idempotency key, or `None` without one. Fails if the header is given
+/// more than once or is not 1 to 128 visible ASCII characters.
 pub fn check_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Rejection> {
     let mut values = headers.get_all(IDEMPOTENCY_KEY).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
     let bytes = value.as_bytes();
-    let has_length = (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&bytes.len());
+    let is_length_valid = (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&bytes.len());
     let is_visible = bytes.iter().all(u8::is_ascii_graphic);
-    if values.next().is_some() || !has_length || !is_visible {
+    if values.next().is_some() || !is_length_valid || !is_visible {
         let detail = "idempotency-key must be given once, as 1 to 128 visible ASCII characters";
-        return Err(Rejection::bad(detail));
+        return Err(Rejection::bad_request(detail));
     }
     Ok(value.to_str().ok().map(str::to_owned))
 }
 
-/// Removes key, internal and connection headers; whoever set internal ones
-/// other than `expected` is logged.
+/// Removes tenant key, internal and connection headers, content length and `Expect`.
+/// Logs an internal header other than `expected`, since only nodes may set them.
 pub fn strip(headers: &mut HeaderMap, expected: Option<&HeaderName>) {
-    let forged = headers
+    let forged_name = headers
         .keys()
         .find(|name| is_internal(name) && Some(*name) != expected);
-    if let Some(name) = forged {
+    if let Some(name) = forged_name {
         event!(Event::ContextForged, "header={name} dropped");
     }
     strip_internal(headers);
@@ -163,36 +167,39 @@
     headers.remove(EXPECT);
 }
 
-/// Reads what is left of a refused request's body, unless whoever sent it
-/// waits for a word before sending it.
+/// Reads and drops the rest of a refused request's body, unless the sender waits for
+/// `100 Continue` before it sends the body.
 pub async fn discard_body(head: &HeaderMap, body: &mut Incoming) {
     if !head.contains_key(EXPECT) {
         discard(body).await;
     }
 }
 
-/// Reads the whole body within size and time.
+/// Reads the complete body, limited by `max_body_bytes` and `caller_read_timeout_ms`.
 pub async fn read_body(
     settings: &Settings,
     headers: &HeaderMap,
     body: &mut Incoming,
 ) -> Result<Bytes, Rejection> {
     let limit_bytes = settings.max_body_bytes;
-    let too_large = || Rejection::large(&format!("the body may have {limit_bytes} bytes"));
-    let announced = headers
+    let too_large =
+        || Rejection::too_large(&format!("the body may have at most {limit_bytes} bytes"));
+    let content_length = headers
         .get(CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
-    if announced.is_some_and(|bytes| bytes > limit_bytes as u64) {
+    if content_length.is_some_and(|bytes| bytes > limit_bytes as u64) {
         return Err(too_large());
     }
     let timeout_ms = settings.caller_read_timeout_ms;
-    let reading = collect(body, limit_bytes);
-    let read = tokio::time::timeout(Duration::from_millis(timeout_ms), reading).await;
-    match read {
-        Err(_) => Err(Rejection::bad(&format!(
+    let collecting = collect(body, limit_bytes);
+    let result = tokio::time::timeout(Duration::from_millis(timeout_ms), collecting).await;
+    match result {
+        Err(_) => Err(Rejection::bad_request(&format!(
             "the body did not arrive within {timeout_ms} ms"
         ))),
-        Ok(Err(error)) => Err(Rejection::bad(&format!("the body is malformed: {error}"))),
+        Ok(Err(error)) => Err(Rejection::bad_request(&format!(
+            "the body is malformed: {error}"
+        ))),
         Ok(Ok(Collected::Larger(..))) => Err(too_large()),
         Ok(Ok(Collected::Whole(bytes))) => Ok(bytes),
     }
--- a/src/ingress/mod.rs
+++ b/src/ingress/mod.rs
@@ -1,12 +1,12 @@
-//! Callers: checks, quota, and the way to the target.
+//! Ingress: checks requests of callers, admits them by quota and dispatches them to targets.
 
 mod checks;
 mod serve;
 
 pub use {
     checks::{
-        Rejection, check_idempotency_key, check_size, discard_body, parse_deadline_ms, read_body,
-        split_path, strip,
+        Rejection, check_head_size, check_idempotency_key, discard_body, parse_deadline_ms,
+        read_body, split_path, strip,
     },
     serve::serve_callers,
 };
--- a/src/ingress/serve.rs
+++ b/src/ingress/serve.rs
@@ -1,14 +1,15 @@
-//! One request of a caller, from its key to its answer.
+//! Serves requests of callers: reads the request, checks key and quota, dispatches it
+//! and records its result.
 
 use {
-    super::{Rejection, check_size, discard_body, read_body},
+    super::{Rejection, check_head_size, discard_body, read_body},
     crate::{
         control::RequestLabels,
         dialect::{CallerRequest, Dialect, Tenant},
         egress::Call,
         event,
         events::Event,
-        exchange::{Answer, AnswerBody, BegunAhead, Handler, ListenerLimits, Outbound, serve},
+        exchange::{Answer, AnswerBody, EarlyResponse, Handler, ListenerLimits, Outbound, serve},
         freshness::Freshness,
         keys::{KeyDigest, KeyState},
         model::{Class, Outcome, Reason, Refusal, RequestId, WorkspaceKey},
@@ -30,27 +31,28 @@
     tokio::net::TcpListener,
 };
 
-const STREAM_COUNT: u32 = 256;
-/// Workspace that requests on open routes are counted for.
-const ANONYMOUS: &str = "";
-/// Open connections of callers above which refused ones are closed.
+/// Concurrent streams of an HTTP/2 connection.
+const MAX_STREAMS: u32 = 256;
+/// Workspace of requests on routes that need no key.
+const ANONYMOUS_WORKSPACE: &str = "";
+/// Number of open caller connections above which a refused request's connection is closed.
 ///
-/// Callers come back on new connections and leave the old ones open until they
-/// are idle for long. In a storm of refusals thousands pile up: one would notice
-/// memory of four times the usual, and descriptors that run out, so that callers
-/// within their rate are not accepted.
-const KEPT_CONNECTION_COUNT: usize = 256;
-/// When to come back to a node that cannot confirm keys: about the time that a
-/// short outage of the platform lasts.
-const UNCONFIRMED_RETRY_MS: u32 = 1000;
+/// Callers retry on new connections and leave the old ones open until a long idle
+/// timeout. When many requests are refused, thousands of connections accumulate: memory
+/// grows to four times the usual, and file descriptors run out, so that callers within
+/// their rate cannot connect.
+const CLOSE_REFUSED_ABOVE_COUNT: usize = 256;
+/// Retry delay for callers of a node that cannot confirm keys: about the duration of a
+/// short outage of the platform.
+const UNCONFIRMED_KEY_RETRY_AFTER_MS: u32 = 1000;
 
-/// Serves callers until the node's drain closes their connections.
+/// Serves callers until the node's drain has closed their connections.
 pub async fn serve_callers<P: Policies>(node: Arc<Node<P>>, listener: TcpListener) {
     let limits = ListenerLimits {
         connection_count: node.settings.max_connections,
         header_bytes: node.settings.max_header_bytes,
         header_timeout: Duration::from_millis(node.settings.caller_read_timeout_ms),
-        stream_count: STREAM_COUNT,
+        stream_count: MAX_STREAMS,
     };
     let (closing, stopped) = (node.closing.clone(), node.stopped.clone());
     let open_count = Arc::clone(&node.caller_connection_count);
@@ -58,7 +60,7 @@
     serve(listener, limits, closing, stopped, open_count, handler).await;
 }
 
-/// Answers callers.
+/// Handles the requests of callers.
 struct CallerHandler<P: Policies>(Arc<Node<P>>);
 
 impl<P: Policies> Clone for CallerHandler<P> {
@@ -76,21 +78,21 @@
         handle(Arc::clone(&self.0), head, Some(body))
     }
 
-    fn begin_ahead(&self, head: &Parts) -> Option<BegunAhead> {
+    fn start_early(&self, head: &Parts) -> Option<EarlyResponse> {
         let node = &self.0;
         let running = node.running();
-        let asked = node.dialect.read_request(&running, head).ok()?;
-        if !asked.repeatable || node.is_draining() {
+        let request = node.dialect.read_request(&running, head).ok()?;
+        if !request.repeatable || node.is_draining() {
             return None;
         }
-        let begun = tokio::spawn(handle(Arc::clone(node), head.clone(), None));
-        Some(BegunAhead::new(begun))
+        let task = tokio::spawn(handle(Arc::clone(node), head.clone(), None));
+        Some(EarlyResponse::new(task))
     }
 }
 
-/// What is known of a request for its log line and its counters.
+/// What was read of a request, for its log line and metrics.
 #[derive(Debug, Default)]
-struct Seen {
+struct RequestInfo {
     request_id: Option<RequestId>,
     class: Option<Class>,
 }
@@ -103,16 +105,16 @@
     let _in_flight = node.begin();
     let is_http1 = head.version <= Version::HTTP_11;
     let started_us = node.timer.now_us();
-    let mut seen = Seen::default();
-    let result = answer(&node, &mut head, &mut body, &mut seen).await;
-    let ended = match &result {
+    let mut request_info = RequestInfo::default();
+    let result = process(&node, &mut head, &mut body, &mut request_info).await;
+    let refusal = match &result {
         Ok(_) => None,
         Err(rejection) => Some(rejection.refusal),
     };
     let latency_us = node.timer.now_us().saturating_sub(started_us);
-    count(&node, &seen, ended, latency_us);
+    record_result(&node, &request_info, refusal, latency_us);
     let mut response = match result {
-        Ok(answer) => node.dialect.response(answer),
+        Ok(response) => node.dialect.response(response),
         Err(rejection) => {
             if let Some(body) = &mut body {
                 discard_body(&head.headers, body).await;
@@ -122,7 +124,7 @@
         }
     };
     let open_count = node.caller_connection_count.load(Ordering::Relaxed);
-    let is_surplus = ended.is_some() && open_count > KEPT_CONNECTION_COUNT;
+    let is_surplus = refusal.is_some() && open_count > CLOSE_REFUSED_ABOVE_COUNT;
     if is_http1 && (node.is_draining() || is_surplus) {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -130,17 +132,25 @@
     response
 }
 
-fn count<P: Policies>(node: &Node<P>, seen: &Seen, ended: Option<Refusal>, latency_us: u64) {
+fn record_result<P: Policies>(
+    node: &Node<P>,
+    request_info: &RequestInfo,
+    refusal: Option<Refusal>,
+    latency_us: u64,
+) {
     let labels = RequestLabels {
-        class: seen.class.map_or("none", Class::name),
-        outcome: ended
+        class: request_info.class.map_or("none", Class::name),
+        outcome: refusal
             .map_or(Outcome::Whole, |refusal| refusal.outcome)
             .name(),
-        reason: ended.map_or("none", |refusal| refusal.reason.name()),
+        reason: refusal.map_or("none", |refusal| refusal.reason.name()),
     };
-    if let Some(refusal) = ended {
+    if let Some(refusal) = refusal {
         let (outcome, reason) = (refusal.outcome.name(), refusal.reason);
-        let id = seen.request_id.as_ref().map_or("", RequestId::as_str);
+        let id = request_info
+            .request_id
+            .as_ref()
+            .map_or("", RequestId::as_str);
         let took_ms = latency_us / 1000;
         event!(
             Event::RequestRefused,
@@ -150,13 +160,13 @@
     node.metrics.count_request(&labels, latency_us);
 }
 
-async fn answer<P: Policies>(
+async fn process<P: Policies>(
     node: &Arc<Node<P>>,
     head: &mut Parts,
     body: &mut Option<Incoming>,
-    seen: &mut Seen,
+    request_info: &mut RequestInfo,
 ) -> Result<Answer, Rejection> {
-    seen.request_id = node.dialect.request_id(&head.headers);
+    request_info.request_id = node.dialect.request_id(&head.headers);
     let running = node.running();
     if running.revision == 0 {
         let refusal = Refusal::not_run(Reason::NotReady);
@@ -165,84 +175,84 @@
             "this node has no configuration yet",
         ));
     }
-    check_size(head, node.settings.max_header_bytes)?;
-    let asked = node.dialect.read_request(&running, head)?;
-    seen.request_id = Some(asked.request_id);
-    seen.class = Some(asked.class);
-    let deadline_us = node.timer.now_us() + asked.deadline_ms * 1000;
-    if let Some(tenant) = &asked.tenant {
+    check_head_size(head, node.settings.max_header_bytes)?;
+    let request = node.dialect.read_request(&running, head)?;
+    request_info.request_id = Some(request.request_id);
+    request_info.class = Some(request.class);
+    let deadline_us = node.timer.now_us() + request.deadline_ms * 1000;
+    if let Some(tenant) = &request.tenant {
         check_lease(node, tenant)?;
     }
     let body = match body {
         Some(body) => read_body(&node.settings, &head.headers, body).await?,
         None => Bytes::new(),
     };
-    let (workspace, key) = admit_tenant(node, &asked).await?;
+    let (workspace, key) = admit_tenant(node, &request).await?;
     let workspace_name = node.names.workspace_name(workspace);
-    let known = asked.tenant.as_ref().map(|_| workspace_name.as_str());
-    let budget = Budget::new(node, asked.retry_limit);
+    let verified_workspace = request.tenant.as_ref().map(|_| workspace_name.as_str());
+    let allotment = RetryAllotment::new(node, request.retry_limit);
     let call = Call {
-        request_id: asked.request_id,
+        request_id: request.request_id,
         workspace,
         key,
-        service: asked.service,
-        class: asked.class,
+        service: request.service,
+        class: request.class,
         deadline_us,
         depth: 0,
-        regions: asked.regions,
-        repeatable: asked.repeatable,
-        retry: budget.call,
+        regions: request.regions,
+        repeatable: request.repeatable,
+        retry: allotment.key,
     };
     let mut headers = head.headers.clone();
-    node.dialect.clean(&mut headers, known);
+    node.dialect.clean(&mut headers, verified_workspace);
     let outbound = Outbound {
         method: head.method.clone(),
-        host: asked.host,
-        path: asked.path,
+        host: request.host,
+        path: request.path,
         headers,
         body,
     };
-    let is_call = asked.tenant.is_none() && P::Dialect::CALLS_LIKE_CALLERS;
-    let result = dispatch(node, &call, &outbound, asked.idempotency_key.as_deref()).await;
-    drop(budget);
-    if asked.tenant.is_some()
+    let is_target_call = request.tenant.is_none() && P::Dialect::CALLS_LIKE_CALLERS;
+    let result = dispatch(node, &call, &outbound, request.idempotency_key.as_deref()).await;
+    drop(allotment);
+    if request.tenant.is_some()
         && matches!(&result, Err(refusal) if refusal.outcome == Outcome::NotRun)
     {
-        node.quota.refund(workspace, asked.class);
+        node.quota.refund(workspace, request.class);
     }
-    if is_call {
-        note_call(node, &result);
+    if is_target_call {
+        record_call(node, &result);
     }
     result.map_err(|refusal| Rejection::new(refusal, ""))
 }
 
-/// Notes how a call of the own target ended. One that it gave up by itself is
-/// not noted: the future is dropped before.
-fn note_call<P: Policies>(node: &Node<P>, result: &Result<Answer, Refusal>) {
-    let has_failed = match result {
-        Ok(answer) => answer.status.is_server_error(),
+/// Records the result of a downstream call of the local target. A call that the target
+/// cancelled is not recorded, since the future is dropped before.
+fn record_call<P: Policies>(node: &Node<P>, result: &Result<Answer, Refusal>) {
+    let is_failure = match result {
+        Ok(response) => response.status.is_server_error(),
         Err(_) => true,
     };
     let now_us = node.timer.now_us();
-    node.downstream().note(has_failed, now_us);
+    node.downstream().note(is_failure, now_us);
 }
 
-/// Workspace and key that the request runs for, within the workspace's rate.
+/// Admits the request by the workspace's rate; returns the workspace and key that it
+/// runs for.
 async fn admit_tenant<P: Policies>(
     node: &Node<P>,
-    asked: &CallerRequest,
+    request: &CallerRequest,
 ) -> Result<(WorkspaceKey, KeyDigest), Rejection> {
-    let Some(tenant) = &asked.tenant else {
-        return Ok((node.names.workspace(ANONYMOUS), KeyDigest::NONE));
+    let Some(tenant) = &request.tenant else {
+        return Ok((node.names.workspace(ANONYMOUS_WORKSPACE), KeyDigest::NONE));
     };
     let rules = &tenant.rules;
-    let quota = node
+    let admitted = node
         .quota
-        .admit(rules.workspace, rules.rate, asked.class)
+        .admit(rules.workspace, rules.rate, request.class)
         .await;
-    quota.map_err(|refusal| Rejection::new(refusal, "the workspace is over its rate"))?;
-    // Looks at the key again after waiting for body and quota: it may have
-    // been revoked in the meantime.
+    admitted.map_err(|refusal| Rejection::new(refusal, "the workspace is over its rate"))?;
+    // Checks the key again: it may have been revoked during the wait for body and quota.
     check_lease(node, tenant)?;
     match node.running().key_state(&tenant.key) {
         KeyState::Granted(workspace) if workspace == rules.workspace => Ok((workspace, tenant.key)),
@@ -253,8 +263,8 @@
     }
 }
 
-/// Refuses a key that could not be confirmed for too long: it may have been
-/// taken away unseen, and its holder would go on being served.
+/// Refuses a key that could not be confirmed for longer than its lease: it may have been
+/// revoked without this node's knowledge, and its holder would still be served.
 fn check_lease<P: Policies>(node: &Node<P>, tenant: &Tenant) -> Result<(), Rejection> {
     if node.freshness() != Freshness::CutOff {
         return Ok(());
@@ -263,33 +273,33 @@
     let lease_ms = tenant.rules.key_lease_ms;
     if cut_off_ms > lease_ms || lease_ms == 0 {
         let refusal = Refusal::not_run(Reason::KeyLeaseExpired);
-        let detail = "this zone is cut off and could not confirm the key for too long";
+        let detail = "this zone is cut off and could not confirm the key within its lease";
         return Err(Rejection::new(
-            refusal.with_retry_after_ms(UNCONFIRMED_RETRY_MS),
+            refusal.with_retry_after_ms(UNCONFIRMED_KEY_RETRY_AFTER_MS),
             detail,
         ));
     }
     Ok(())
 }
 
-/// The retry allotment of an original request while it lives.
-struct Budget<P: Policies> {
+/// Holds the retry allotment of an original request; closes it when dropped.
+struct RetryAllotment<P: Policies> {
     node: Arc<Node<P>>,
-    call: CallKey,
+    key: CallKey,
 }
 
-impl<P: Policies> Budget<P> {
-    fn new(node: &Arc<Node<P>>, allotment: u8) -> Self {
-        let call = node.retries().open(allotment);
+impl<P: Policies> RetryAllotment<P> {
+    fn new(node: &Arc<Node<P>>, retry_limit: u8) -> Self {
+        let key = node.retries().open(retry_limit);
         Self {
             node: Arc::clone(node),
-            call,
+            key,
         }
     }
 }
 
-impl<P: Policies> Drop for Budget<P> {
+impl<P: Policies> Drop for RetryAllotment<P> {
     fn drop(&mut self) {
-        self.node.retries().close(self.call);
+        self.node.retries().close(self.key);
     }
 }
--- a/tests/callers_pipeline.rs
+++ b/tests/callers_pipeline.rs
@@ -1,18 +1,18 @@
-//! Requests that callers send before the one before is answered.
+//! HTTP/1 pipelining: requests sent before the response to the previous one.
 
 use {
-    dogwoodbridge::exchange::{AnswerBody, BegunAhead, Pipeline},
+    dogwoodbridge::exchange::{AnswerBody, EarlyResponse, Pipeline},
     hyper::{Request, Response, http::request::Parts},
     std::cell::RefCell,
 };
 
-const LOOKUP: &str = "GET /lots/7 HTTP/1.1\r\nhost: a.example\r\nid: 1\r\n\r\n";
-const OTHER: &str = "GET /lots/8 HTTP/1.1\r\nhost: a.example\r\nid: 2\r\n\r\n";
+const FIRST: &str = "GET /lots/7 HTTP/1.1\r\nhost: a.example\r\nid: 1\r\n\r\n";
+const SECOND: &str = "GET /lots/8 HTTP/1.1\r\nhost: a.example\r\nid: 2\r\n\r\n";
 
-fn begun(paths: &RefCell<Vec<String>>, parts: &Parts) -> Option<BegunAhead> {
+fn start_early(paths: &RefCell<Vec<String>>, parts: &Parts) -> Option<EarlyResponse> {
     paths.borrow_mut().push(parts.uri.path().to_owned());
-    let answer = async { Response::new(AnswerBody::whole("ahead".into())) };
-    Some(BegunAhead::new(tokio::spawn(answer)))
+    let response = async { Response::new(AnswerBody::whole("early".into())) };
+    Some(EarlyResponse::new(tokio::spawn(response)))
 }
 
 fn request(path: &str, id: &str) -> Request<()> {
@@ -20,110 +20,110 @@
     request.header("id", id).body(()).unwrap()
 }
 
-// A caller sends two lookups at once. Begun when the first is answered, the second
-// takes twice as long as it should and is answered late.
+// A caller pipelines two requests. If the second is started only after the first response,
+// it takes twice as long and may miss its deadline.
 #[tokio::test]
-async fn what_waits_behind_another_is_begun_when_it_is_read() {
+async fn pipelined_requests_are_started_when_read() {
     struct Case {
         name: &'static str,
         reads: Vec<String>,
-        paths: Vec<&'static str>,
+        expected_paths: Vec<&'static str>,
     }
-    let body = "POST /lots/9 HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\nabc";
-    let last = "GET /lots/9 HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
+    let with_body = "POST /lots/9 HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\nabc";
+    let closing = "GET /lots/9 HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     let cases = [
         Case {
-            name: "one alone is left to the library",
-            reads: vec![LOOKUP.to_owned()],
-            paths: vec![],
+            name: "a single request is left to the library",
+            reads: vec![FIRST.to_owned()],
+            expected_paths: vec![],
         },
         Case {
-            name: "two at once",
-            reads: vec![format!("{LOOKUP}{OTHER}")],
-            paths: vec!["/lots/8"],
+            name: "two requests in one read",
+            reads: vec![format!("{FIRST}{SECOND}")],
+            expected_paths: vec!["/lots/8"],
         },
         Case {
-            name: "the second in pieces",
-            reads: vec![format!("{LOOKUP}{}", &OTHER[..20]), OTHER[20..].to_owned()],
-            paths: vec!["/lots/8"],
+            name: "second request in two reads",
+            reads: vec![format!("{FIRST}{}", &SECOND[..20]), SECOND[20..].to_owned()],
+            expected_paths: vec!["/lots/8"],
         },
         Case {
-            name: "nothing behind one with a body",
-            reads: vec![format!("{LOOKUP}{body}{OTHER}")],
-            paths: vec![],
+            name: "nothing after a request with a body",
+            reads: vec![format!("{FIRST}{with_body}{SECOND}")],
+            expected_paths: vec![],
         },
         Case {
-            name: "nothing behind the last one",
-            reads: vec![format!("{LOOKUP}{last}{OTHER}")],
-            paths: vec![],
+            name: "nothing after connection: close",
+            reads: vec![format!("{FIRST}{closing}{SECOND}")],
+            expected_paths: vec![],
         },
         Case {
             name: "another protocol",
             reads: vec![
                 "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_owned(),
-                OTHER.to_owned(),
+                SECOND.to_owned(),
             ],
-            paths: vec![],
+            expected_paths: vec![],
         },
     ];
     for case in cases {
         let pipeline = Pipeline::new();
         let paths = RefCell::new(Vec::new());
         for read in &case.reads {
-            pipeline.read(read.as_bytes(), |parts| begun(&paths, parts));
+            pipeline.record_bytes(read.as_bytes(), |parts| start_early(&paths, parts));
         }
-        assert_eq!(*paths.borrow(), case.paths, "{}", case.name);
+        assert_eq!(*paths.borrow(), case.expected_paths, "{}", case.name);
     }
 }
 
-// The answers go back in the order of the requests, whatever ended first; an answer
-// to another request would reach the wrong caller.
+// Responses are sent in the order of the requests, whichever completes first. A response to
+// another request would reach the wrong caller.
 #[tokio::test]
-async fn each_request_takes_its_own_answer() {
+async fn each_request_gets_its_own_response() {
     let pipeline = Pipeline::new();
     let paths = RefCell::new(Vec::new());
-    let both = format!("{LOOKUP}{OTHER}");
-    pipeline.read(both.as_bytes(), |parts| begun(&paths, parts));
-    assert!(pipeline.has_begun());
-    assert!(pipeline.take(&request("/lots/7", "1")).is_none());
-    pipeline.answered();
-    assert!(pipeline.take(&request("/lots/8", "2")).is_some());
-    assert!(!pipeline.has_begun());
+    let both = format!("{FIRST}{SECOND}");
+    pipeline.record_bytes(both.as_bytes(), |parts| start_early(&paths, parts));
+    assert!(pipeline.has_early_requests());
+    assert!(pipeline.take_response(&request("/lots/7", "1")).is_none());
+    pipeline.record_response();
+    assert!(pipeline.take_response(&request("/lots/8", "2")).is_some());
+    assert!(!pipeline.has_early_requests());
 
-    // Read otherwise than by the library: never answered by what was begun.
+    // The library parsed the request differently: it must not get the early response.
     let pipeline = Pipeline::new();
-    pipeline.read(both.as_bytes(), |parts| begun(&paths, parts));
-    assert!(pipeline.take(&request("/lots/7", "1")).is_none());
-    assert!(pipeline.take(&request("/lots/8", "3")).is_none());
+    pipeline.record_bytes(both.as_bytes(), |parts| start_early(&paths, parts));
+    assert!(pipeline.take_response(&request("/lots/7", "1")).is_none());
+    assert!(pipeline.take_response(&request("/lots/8", "3")).is_none());
 }
 
-// What may be executed only once is never begun ahead: it would be lost with its
-// connection, and its caller sends it again.
+// A request that may be executed only once must not be started early: it could run although
+// its connection breaks, and its caller would send it again.
 #[tokio::test]
-async fn what_is_declined_is_left_to_its_turn() {
+async fn declined_requests_wait_for_their_turn() {
     let pipeline = Pipeline::new();
-    let both = format!("{LOOKUP}{OTHER}");
-    pipeline.read(both.as_bytes(), |_| None);
-    assert!(!pipeline.has_begun());
-    assert!(pipeline.take(&request("/lots/7", "1")).is_none());
-    assert!(pipeline.take(&request("/lots/8", "2")).is_none());
+    let both = format!("{FIRST}{SECOND}");
+    pipeline.record_bytes(both.as_bytes(), |_| None);
+    assert!(!pipeline.has_early_requests());
+    assert!(pipeline.take_response(&request("/lots/7", "1")).is_none());
+    assert!(pipeline.take_response(&request("/lots/8", "2")).is_none());
 }
 
-// A caller leaves: what was begun for it is cancelled with its connection.
+// A caller disconnects: its early requests are cancelled, or targets would do wasted work.
 #[tokio::test]
-async fn what_was_begun_ends_with_its_connection() {
+async fn early_requests_are_cancelled_with_their_connection() {
     let (sender, receiver) = tokio::sync::oneshot::channel::<()>();
     let sender = RefCell::new(Some(sender));
     let pipeline = Pipeline::new();
-    let both = format!("{LOOKUP}{OTHER}");
-    pipeline.read(both.as_bytes(), |_| {
-        let held = sender.borrow_mut().take();
-        let answer = async move {
-            let _held = held;
+    let both = format!("{FIRST}{SECOND}");
+    pipeline.record_bytes(both.as_bytes(), |_| {
+        let sender_guard = sender.borrow_mut().take();
+        let response = async move {
+            let _sender_guard = sender_guard;
             std::future::pending::<()>().await;
             Response::new(AnswerBody::whole("never".into()))
         };
-        Some(BegunAhead::new(tokio::spawn(answer)))
+        Some(EarlyResponse::new(tokio::spawn(response)))
     });
     drop(pipeline);
     assert!(receiver.await.is_err());
