--- a/tests/added_latency.rs
+++ b/tests/added_latency.rs
@@ -1,6 +1,6 @@
-//! Time that the path adds to a call, against the same target called directly
-//! in the same run. Prints figures and judges none of them; optimised builds are
-//! measured with DOGWOOD_LATENCY_CALL_COUNT=2000 by
+//! Latency that nodes add to a call, compared with direct calls of the same target in the
+//! same run. Prints the figures without checking them. To measure an optimised build, set
+//! DOGWOOD_LATENCY_CALL_COUNT=2000 and run
 //! `cargo test --release --test added_latency -- --nocapture`.
 
 mod local_mesh;
@@ -17,79 +17,87 @@
 };
 
 const WARM_UP_COUNT: usize = 200;
-/// Calls on each way, unless the environment asks for more.
+/// Default number of calls per path; the environment variable overrides it.
 const CALL_COUNT: usize = 200;
 const CALL_COUNT_VARIABLE: &str = "DOGWOOD_LATENCY_CALL_COUNT";
-/// About 500 calls a second, low load.
-const PAUSE: Duration = Duration::from_micros(2000);
+/// Pause between calls: about 500 calls per second, a low load.
+const CALL_PAUSE: Duration = Duration::from_micros(2000);
 
-struct Way {
+struct CallPath {
     name: &'static str,
     address: SocketAddr,
     path: &'static str,
 }
 
 fn call_count() -> usize {
-    let asked = std::env::var(CALL_COUNT_VARIABLE).ok();
-    asked.map_or(CALL_COUNT, |count| {
-        count.parse().expect("a number of calls")
+    let configured = std::env::var(CALL_COUNT_VARIABLE).ok();
+    configured.map_or(CALL_COUNT, |count| {
+        count
+            .parse()
+            .expect("DOGWOOD_LATENCY_CALL_COUNT must be a number of calls")
     })
 }
 
-async fn latencies_us(way: &Way) -> Vec<u128> {
-    let mut connection = client::connect(way.address).await;
+async fn measure_sorted_latencies_us(call_path: &CallPath) -> Vec<u128> {
+    let mut connection = client::connect(call_path.address).await;
     let call_count = call_count();
-    let mut taken = Vec::with_capacity(call_count);
+    let mut latencies_us = Vec::with_capacity(call_count);
     for index in 0..WARM_UP_COUNT + call_count {
-        let request = client::request("GET", way.path, &[("dogwood-key", KEY)], b"");
+        let request = client::request("GET", call_path.path, &[("dogwood-key", KEY)], b"");
         let started = Instant::now();
-        let seen = client::exchange(&mut connection, request).await;
-        let took_us = started.elapsed().as_micros();
-        assert_eq!(seen.status, 200, "{}: {}", way.name, seen.text());
+        let response = client::exchange(&mut connection, request).await;
+        let latency_us = started.elapsed().as_micros();
+        assert_eq!(
+            response.status,
+            200,
+            "{}: {}",
+            call_path.name,
+            response.text()
+        );
         if index >= WARM_UP_COUNT {
-            taken.push(took_us);
+            latencies_us.push(latency_us);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(CALL_PAUSE).await;
     }
-    taken.sort_unstable();
-    taken
+    latencies_us.sort_unstable();
+    latencies_us
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn added_latency_is_printed() {
     let mesh = Mesh::start(&["a", "b"]).await;
     let target = SocketAddr::new(mesh[0].node.settings.ip, mesh[0].target.port);
-    let ways = [
-        Way {
+    let call_paths = [
+        CallPath {
             name: "direct",
             address: target,
             path: "/echo",
         },
-        Way {
-            name: "own target",
+        CallPath {
+            name: "local target",
             address: mesh[0].caller_address(),
             path: "/a/echo",
         },
-        Way {
+        CallPath {
             name: "one hop",
             address: mesh[1].caller_address(),
             path: "/a/echo",
         },
-        Way {
+        CallPath {
             name: "direct again",
             address: target,
             path: "/echo",
         },
     ];
-    for way in &ways {
-        let taken = latencies_us(way).await;
-        let at = |percent: usize| taken[(taken.len() - 1) * percent / 100];
+    for call_path in &call_paths {
+        let latencies_us = measure_sorted_latencies_us(call_path).await;
+        let percentile_us = |percent: usize| latencies_us[(latencies_us.len() - 1) * percent / 100];
         println!(
             "{:<13} p50 {:>5} us  p99 {:>5} us  n {}",
-            way.name,
-            at(50),
-            at(99),
-            taken.len()
+            call_path.name,
+            percentile_us(50),
+            percentile_us(99),
+            latencies_us.len()
         );
     }
 }
--- a/tests/caller_connections.rs
+++ b/tests/caller_connections.rs
@@ -1,4 +1,4 @@
-//! What becomes of callers' connections when many are open.
+//! Connections of callers when many are open.
 
 mod local_mesh;
 
@@ -7,11 +7,11 @@
     mesh::{KEY, Mesh},
 };
 
-/// A storm of refusals: callers come back on new connections and leave the old
-/// ones open. Kept, they use up memory and descriptors, and callers within their
-/// rate are not accepted any more.
+/// Many requests are refused: their callers retry on new connections and leave the old ones
+/// open. If these were kept, memory and file descriptors would run out, and callers within
+/// their rate could not connect.
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_callers_are_disconnected_where_many_are_open() {
+async fn refused_callers_are_disconnected_if_many_connections_are_open() {
     struct Case {
         name: &'static str,
         idle_count: usize,
@@ -21,21 +21,21 @@
     }
     let cases = [
         Case {
-            name: "refused among few",
+            name: "refused, few connections",
             idle_count: 0,
             key: "guess",
             status: 401,
             is_closed: false,
         },
         Case {
-            name: "refused among many",
+            name: "refused, many connections",
             idle_count: 300,
             key: "guess",
             status: 401,
             is_closed: true,
         },
         Case {
-            name: "served among many",
+            name: "served, many connections",
             idle_count: 300,
             key: KEY,
             status: 200,
@@ -46,17 +46,17 @@
     let address = mesh[0].caller_address();
     let get = |key: &str| client::request("GET", "/a/echo", &[("dogwood-key", key)], b"");
     for case in cases {
-        let mut idle = Vec::new();
+        let mut idle_connections = Vec::new();
         for _ in 0..case.idle_count {
             let mut sender = client::connect(address).await;
-            // Only one that was read is surely counted.
+            // A connection is certainly counted once a request on it was served.
             client::exchange(&mut sender, get(KEY)).await;
-            idle.push(sender);
+            idle_connections.push(sender);
         }
-        let seen = client::send(address, get(case.key)).await;
-        assert_eq!(seen.status, case.status, "{}", case.name);
-        let is_closed = seen.header("connection") == "close";
+        let response = client::send(address, get(case.key)).await;
+        assert_eq!(response.status, case.status, "{}", case.name);
+        let is_closed = response.header("connection") == "close";
         assert_eq!(is_closed, case.is_closed, "{}", case.name);
-        drop(idle);
+        drop(idle_connections);
     }
 }
--- a/tests/datapath.rs
+++ b/tests/datapath.rs
@@ -1,4 +1,4 @@
-//! The path from a caller through nodes to targets and back.
+//! Requests of callers through nodes to targets and back.
 
 mod local_mesh;
 
@@ -15,18 +15,28 @@
     client::send(mesh[entry].caller_address(), request).await
 }
 
+/// A call chain over four nodes completes from every entry, and targets see neither tenant
+/// keys nor headers between nodes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_chain_of_four_calls_comes_back_whole() {
+async fn a_chain_of_four_calls_completes() {
     let mesh = Mesh::start(&["a", "b", "c", "d"]).await;
     for entry in 0..4 {
-        let seen = get(&mesh, entry, "/a/chain/b/c/d").await;
-        assert_eq!(seen.summary(), (200, "whole", ""), "{}", seen.text());
-        assert_eq!(seen.text(), "a > b > c > d ran");
+        let response = get(&mesh, entry, "/a/chain/b/c/d").await;
+        assert_eq!(
+            response.summary(),
+            (200, "whole", ""),
+            "{}",
+            response.text()
+        );
+        assert_eq!(response.text(), "a > b > c > d ran");
     }
     for instance in mesh.instances.iter() {
         for execution in instance.target.executions() {
             let text = format!("{execution:?}");
-            assert!(!text.contains(KEY), "a target saw a key: {text}");
+            assert!(
+                !text.contains(KEY),
+                "a target received a tenant key: {text}"
+            );
             assert!(!text.contains("dogwood-context") && !text.contains("dogwood-auth"));
         }
         assert_eq!(instance.target.executions().len(), 4);
@@ -40,15 +50,15 @@
     headers: Vec<(&'static str, String)>,
     body_bytes: usize,
     expected: (u16, &'static str, &'static str),
-    says: &'static str,
+    expected_detail: &'static str,
 }
 
-fn refused(
+fn refused_case(
     name: &'static str,
     path: &str,
     headers: &[(&'static str, &str)],
     expected: (u16, &'static str, &'static str),
-    says: &'static str,
+    expected_detail: &'static str,
 ) -> RefusedCase {
     let headers = headers
         .iter()
@@ -60,120 +70,127 @@
         headers: headers.collect(),
         body_bytes: 0,
         expected,
-        says,
+        expected_detail,
     }
 }
 
 fn refused_cases() -> Vec<RefusedCase> {
     let key = ("dogwood-key", KEY);
-    let bad = (400, "not-run", "bad-request");
-    let large = (413, "not-run", "too-large");
+    let bad_request = (400, "not-run", "bad-request");
+    let too_large = (413, "not-run", "too-large");
     let long_key = "k".repeat(129);
-    let long = "h".repeat(17 << 10);
+    let long_header = "h".repeat(17 << 10);
     vec![
-        refused(
+        refused_case(
             "no key",
             "/a/echo",
             &[],
             (401, "not-run", "missing-key"),
             "dogwood-key",
         ),
-        refused(
+        refused_case(
             "unknown key",
             "/a/echo",
             &[("dogwood-key", "guess")],
             (401, "not-run", "unknown-key"),
             "unknown",
         ),
-        refused(
+        refused_case(
             "revoked key",
             "/a/echo",
             &[("dogwood-key", REVOKED_KEY)],
             (401, "not-run", "revoked-key"),
             "revoked",
         ),
-        refused("two keys", "/a/echo", &[key, key], bad, "once"),
-        refused(
+        refused_case("two keys", "/a/echo", &[key, key], bad_request, "once"),
+        refused_case(
             "no service",
             "/z/echo",
             &[key],
             (404, "not-run", "no-route"),
             "service",
         ),
-        refused(
+        refused_case(
             "dot segments",
             "/a/browse/../once/x",
             &[key],
-            bad,
+            bad_request,
+            "segments",
+        ),
+        refused_case("encoded dots", "/a/%2E%2e/x", &[key], bad_request, "%2e"),
+        refused_case(
+            "empty segment",
+            "/a//once/x",
+            &[key],
+            bad_request,
             "segments",
         ),
-        refused("encoded dots", "/a/%2E%2e/x", &[key], bad, "%2e"),
-        refused("empty segment", "/a//once/x", &[key], bad, "segments"),
-        refused(
+        refused_case(
             "deadline text",
             "/a/echo",
             &[key, ("dogwood-deadline-ms", "soon")],
-            bad,
+            bad_request,
             "dogwood-deadline-ms",
         ),
-        refused(
+        refused_case(
             "deadline zero",
             "/a/echo",
             &[key, ("dogwood-deadline-ms", "0")],
-            bad,
+            bad_request,
             "dogwood-deadline-ms",
         ),
-        refused(
+        refused_case(
             "deadline sign",
             "/a/echo",
             &[key, ("dogwood-deadline-ms", "+5")],
-            bad,
+            bad_request,
             "dogwood-deadline-ms",
         ),
-        refused(
+        refused_case(
             "deadline huge",
             "/a/echo",
             &[key, ("dogwood-deadline-ms", "99999999999999999999")],
-            bad,
+            bad_request,
             "dogwood-deadline-ms",
         ),
-        refused(
+        refused_case(
             "idempotency key long",
             "/a/echo",
             &[key, ("idempotency-key", &long_key)],
-            bad,
+            bad_request,
             "idempotency-key",
         ),
-        refused(
+        refused_case(
             "idempotency key empty",
             "/a/echo",
             &[key, ("idempotency-key", "")],
-            bad,
+            bad_request,
             "idempotency-key",
         ),
-        refused(
+        refused_case(
             "idempotency key space",
             "/a/echo",
             &[key, ("idempotency-key", "a b")],
-            bad,
+            bad_request,
             "idempotency-key",
         ),
-        refused(
+        refused_case(
             "headers large",
             "/a/echo",
-            &[key, ("x-long", &long)],
-            large,
+            &[key, ("x-long", &long_header)],
+            too_large,
             "headers",
         ),
         RefusedCase {
             body_bytes: (1 << 20) + 1,
-            ..refused("body large", "/a/echo", &[key], large, "body")
+            ..refused_case("body large", "/a/echo", &[key], too_large, "body")
         },
     ]
 }
 
+/// Invalid requests are refused with a detail that names the fault, and none is executed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bad_request_is_refused_by_name_and_reaches_no_target() {
+async fn invalid_requests_are_refused_with_a_detail_and_reach_no_target() {
     let mesh = Mesh::start(&["a"]).await;
     for case in refused_cases() {
         let headers: Vec<_> = case
@@ -183,29 +200,29 @@
             .collect();
         let body = vec![b'x'; case.body_bytes];
         let request = client::request(case.method, &case.path, &headers, &body);
-        let seen = client::send(mesh[0].caller_address(), request).await;
+        let response = client::send(mesh[0].caller_address(), request).await;
         assert_eq!(
-            seen.summary(),
+            response.summary(),
             case.expected,
             "{}: {}",
             case.name,
-            seen.text()
+            response.text()
         );
         assert!(
-            seen.text().contains(case.says),
+            response.text().contains(case.expected_detail),
             "{}: {}",
             case.name,
-            seen.text()
+            response.text()
         );
     }
     assert!(mesh[0].target.executions().is_empty());
     assert_eq!(get(&mesh, 0, "/a/echo").await.summary(), (200, "whole", ""));
 }
 
-/// Operators revoke a key while its caller holds a connection open. Were only
-/// new connections checked, the caller would go on for hours.
+/// A key is revoked while its caller holds a connection open. If keys were checked only
+/// for new connections, the caller would be served for hours.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_revoked_key_stops_on_an_open_connection() {
+async fn a_revoked_key_is_refused_on_an_open_connection() {
     let mesh = Mesh::start(&["a"]).await;
     let mut connection = client::connect(mesh[0].caller_address()).await;
     let request = || client::request("GET", "/a/echo", &[("dogwood-key", KEY)], b"");
@@ -221,66 +238,66 @@
     assert_eq!(mesh[0].target.executions().len(), 1);
 }
 
-struct AnswerCase {
+struct ResponseCase {
     name: &'static str,
     path: &'static str,
     expected: (u16, &'static str, &'static str),
-    executions: usize,
+    execution_count: usize,
 }
 
-/// Targets answer for other calls, break off in the middle or shed. A caller
-/// that took half an answer for a whole one would act on it; one that was told
-/// `not-run` wrongly would send an order twice.
+/// Targets send responses to other calls, truncated responses, or shed. A caller would act
+/// on a truncated response that looks complete, and would send an order twice after a
+/// wrong `not-run`.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_answers_are_told_as_what_they_are() {
+async fn broken_responses_are_reported_with_their_outcome() {
     let cases = [
-        AnswerCase {
-            name: "crossed, repeatable",
+        ResponseCase {
+            name: "response to another call, repeatable",
             path: "/a/crossed",
             expected: (502, "unknown", "bad-answer"),
-            executions: 4,
+            execution_count: 4,
         },
-        AnswerCase {
-            name: "crossed, once",
+        ResponseCase {
+            name: "response to another call, unrepeatable",
             path: "/a/once/crossed",
             expected: (502, "unknown", "bad-answer"),
-            executions: 1,
+            execution_count: 1,
         },
-        AnswerCase {
-            name: "cut, repeatable",
+        ResponseCase {
+            name: "truncated, repeatable",
             path: "/a/cut/1000",
             expected: (502, "unknown", "bad-answer"),
-            executions: 4,
+            execution_count: 4,
         },
-        AnswerCase {
-            name: "shed untouched",
+        ResponseCase {
+            name: "shed without execution",
             path: "/a/shed",
             expected: (503, "not-run", "overloaded"),
-            executions: 4,
+            execution_count: 4,
         },
-        AnswerCase {
-            name: "failed by itself",
+        ResponseCase {
+            name: "error of the target",
             path: "/a/fail",
             expected: (503, "whole", ""),
-            executions: 1,
+            execution_count: 1,
         },
     ];
-    // Once through the target's own node, once through another.
+    // Through the target's node, then through another node.
     for entry in [0, 1] {
         let mesh = Mesh::start(&["a", "b"]).await;
         for case in &cases {
-            mesh[0].target.journal.lock().unwrap().clear();
-            let seen = get(&mesh, entry, case.path).await;
+            mesh[0].target.recorder.lock().unwrap().clear();
+            let response = get(&mesh, entry, case.path).await;
             let name = case.name;
             assert_eq!(
-                seen.summary(),
+                response.summary(),
                 case.expected,
                 "{name} by {entry}: {}",
-                seen.text()
+                response.text()
             );
             assert_eq!(
                 mesh[0].target.executions().len(),
-                case.executions,
+                case.execution_count,
                 "{name} by {entry}"
             );
         }
@@ -288,38 +305,38 @@
     }
 }
 
-/// The answer to a repeatable request breaks, and its retry is refused before it
-/// runs. Told `not-run`, the caller would take it that nothing happened at all.
+/// The response to a repeatable request breaks, and its retry is refused before it runs. If
+/// `not-run` were reported, the caller would assume that nothing was executed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_retry_does_not_hide_an_earlier_attempt_that_may_have_run() {
     for entry in [0, 1] {
         let mesh = Mesh::start(&["a", "b"]).await;
-        let seen = get(&mesh, entry, "/a/cut-then-shed/1000").await;
+        let response = get(&mesh, entry, "/a/cut-then-shed/1000").await;
         assert_eq!(
-            seen.summary(),
+            response.summary(),
             (503, "unknown", "overloaded"),
             "entry {entry}"
         );
     }
 }
 
-/// A large answer breaks after its head has gone out. Its caller must see a
-/// broken transfer, not a short answer that looks whole.
+/// A large response breaks after its head was sent. The caller must see a broken transfer,
+/// not a truncated response that looks complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_answer_is_streamed_and_a_cut_one_never_looks_whole() {
+async fn a_large_response_is_streamed_and_a_truncated_one_never_looks_complete() {
     let mesh = Mesh::start(&["a", "b"]).await;
     for entry in [0, 1] {
-        let whole = get(&mesh, entry, "/a/big/3000000").await;
-        assert_eq!(whole.body.map(|body| body.len()), Some(3_000_000));
-        let cut = get(&mesh, entry, "/a/cut/3000000").await;
-        assert_eq!(cut.body, None, "entry {entry}");
+        let complete = get(&mesh, entry, "/a/big/3000000").await;
+        assert_eq!(complete.body.map(|body| body.len()), Some(3_000_000));
+        let truncated = get(&mesh, entry, "/a/cut/3000000").await;
+        assert_eq!(truncated.body, None, "entry {entry}");
     }
 }
 
-/// A caller gives up while the chain works. The deepest target must notice,
-/// or it works on for nobody while others wait.
+/// A caller disconnects while its call chain is executed. The deepest target must be
+/// cancelled, or it does wasted work while others wait.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_takes_its_children_along() {
+async fn a_disconnected_caller_cancels_its_child_calls() {
     let mesh = Mesh::start(&["a", "b", "c"]).await;
     let mut connection = client::connect(mesh[0].caller_address()).await;
     let request = client::request("GET", "/a/chain/b/slow/2000", &[("dogwood-key", KEY)], b"");
@@ -336,39 +353,41 @@
         }
         assert!(instance.node.calls().is_empty());
     }
-    assert!(!mesh[1].target.executions()[0].ended);
+    assert!(!mesh[1].target.executions()[0].is_completed);
 }
 
+/// A target is slower than the caller's deadline: the caller gets a timeout at its deadline,
+/// with an unknown outcome, since the request may have run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_deadline_ends_the_wait_with_an_unknown_outcome() {
+async fn an_expired_deadline_is_reported_with_an_unknown_outcome() {
     let mesh = Mesh::start(&["a", "b"]).await;
     for entry in [0, 1] {
         let headers = [("dogwood-key", KEY), ("dogwood-deadline-ms", "100")];
         let request = client::request("GET", "/a/slow/2000", &headers, b"");
-        let seen = client::send(mesh[entry].caller_address(), request).await;
-        assert_eq!(seen.summary(), (504, "unknown", "deadline-exceeded"));
-        assert_eq!(seen.header("retry-after"), "1");
+        let response = client::send(mesh[entry].caller_address(), request).await;
+        assert_eq!(response.summary(), (504, "unknown", "deadline-exceeded"));
+        assert_eq!(response.header("retry-after"), "1");
     }
 }
 
-/// Someone on the network sends to the ports between nodes, or a target makes
-/// up a handle. Were either believed, requests could run for any workspace.
+/// An outsider sends to the ports between nodes, or a target forges a call handle. If
+/// either were accepted, requests could run for any workspace.
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers_are_refused_on_the_ports_between_nodes() {
+async fn unauthenticated_requests_are_refused_on_internal_ports() {
     let mesh = Mesh::start(&["a"]).await;
     let forged = [("dogwood-context", "AAAA"), ("dogwood-auth", "00")];
     for headers in [&[][..], &forged[..]] {
         let request = client::request("GET", "/echo", headers, b"");
-        let seen = client::send(mesh[0].peer_address(), request).await;
-        assert_eq!(seen.summary(), (403, "not-run", "not-authentic"));
+        let response = client::send(mesh[0].peer_address(), request).await;
+        assert_eq!(response.summary(), (403, "not-run", "not-authentic"));
     }
     for handle in ["", "00000000000000000000000000000001", "x"] {
         let request = client::request("GET", "/a/echo", &[("dogwood-call", handle)], b"");
-        let seen = client::send(mesh[0].egress_address(), request).await;
-        assert_eq!(seen.summary(), (409, "not-run", "bad-handle"));
+        let response = client::send(mesh[0].egress_address(), request).await;
+        assert_eq!(response.summary(), (409, "not-run", "bad-handle"));
     }
     assert!(mesh[0].target.executions().is_empty());
-    // The handle of a call that is over.
+    // The handle of a call that has ended.
     get(&mesh, 0, "/a/echo").await;
     let execution = &mesh[0].target.executions()[0];
     let handle = execution
@@ -377,32 +396,34 @@
         .find(|(name, _)| name == "dogwood-call");
     let headers = [("dogwood-call", handle.unwrap().1.as_str())];
     let request = client::request("GET", "/a/echo", &headers, b"");
-    let seen = client::send(mesh[0].egress_address(), request).await;
-    assert_eq!(seen.summary(), (409, "not-run", "bad-handle"));
+    let response = client::send(mesh[0].egress_address(), request).await;
+    assert_eq!(response.summary(), (409, "not-run", "bad-handle"));
     assert_eq!(mesh[0].target.executions().len(), 1);
 }
 
+/// A workspace exceeds its rate: it is refused with a retry delay, so that callers do not
+/// retry immediately.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_workspace_over_its_rate_is_told_when_to_come_back() {
+async fn a_workspace_over_its_rate_gets_a_retry_delay() {
     let mesh = Mesh::start(&["a"]).await;
     let mut refused = None;
     for _ in 0..10 {
         let request = client::request("GET", "/a/echo", &[("dogwood-key", "tiny-key")], b"");
-        let seen = client::send(mesh[0].caller_address(), request).await;
-        if seen.status == 429 {
-            refused = Some(seen);
+        let response = client::send(mesh[0].caller_address(), request).await;
+        if response.status == 429 {
+            refused = Some(response);
         }
     }
-    let seen = refused.expect("10 requests at once exceed a burst of 2");
-    assert_eq!(seen.summary(), (429, "not-run", "over-quota"));
-    assert_eq!(seen.header("retry-after"), "1");
-    assert!(!seen.header("dogwood-retry-after-ms").is_empty());
+    let response = refused.expect("10 requests at once exceed a burst of 2");
+    assert_eq!(response.summary(), (429, "not-run", "over-quota"));
+    assert_eq!(response.header("retry-after"), "1");
+    assert!(!response.header("dogwood-retry-after-ms").is_empty());
 }
 
-/// A planned stop with work in progress. A node that left at once would cut
-/// its callers off in the middle of an order.
+/// A node is drained with requests in flight. If it stopped immediately, orders would be
+/// aborted.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drain_cuts_off_no_request() {
+async fn a_drain_aborts_no_request() {
     let mesh = Mesh::start(&["a", "a"]).await;
     let address = mesh[0].caller_address();
     let slow = tokio::spawn(async move {
@@ -423,60 +444,64 @@
     }
 }
 
-/// A target leaves on its own account. Work sent there afterwards would fail
-/// with it; its node goes on as an entry for callers.
+/// A target announces that it drains. Requests sent to it afterwards would fail; its node
+/// still serves callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draining_target_gets_no_new_work() {
+async fn a_draining_target_gets_no_new_requests() {
     let mesh = Mesh::start(&["a", "a"]).await;
     mesh[0].target.announce(true).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let before = mesh[0].target.executions().len();
+    let previous_count = mesh[0].target.executions().len();
     for _ in 0..20 {
-        let seen = get(&mesh, 0, "/a/echo").await;
-        assert_eq!(seen.summary(), (200, "whole", ""));
+        let response = get(&mesh, 0, "/a/echo").await;
+        assert_eq!(response.summary(), (200, "whole", ""));
     }
-    assert_eq!(mesh[0].target.executions().len(), before);
+    assert_eq!(mesh[0].target.executions().len(), previous_count);
     assert_eq!(mesh[1].target.executions().len(), 20);
 }
 
-/// A zone is cut off from the platform and from the others. A key that was
-/// revoked elsewhere must not work here for ever.
+/// A zone is cut off from the platform and the other zones. A key that was revoked there
+/// must not stay valid in this zone.
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_lapse_in_a_zone_that_stays_cut_off() {
+async fn keys_expire_in_a_zone_that_stays_cut_off() {
     let mesh = Mesh::start(&["a"]).await;
     let freshness = &mesh[0].freshness;
     freshness.send_replace(dogwoodbridge::freshness::Snapshot::cut_off());
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let seen = get(&mesh, 0, "/a/echo").await;
-    assert_eq!(seen.summary(), (401, "not-run", "key-lease-expired"));
+    let response = get(&mesh, 0, "/a/echo").await;
+    assert_eq!(response.summary(), (401, "not-run", "key-lease-expired"));
     freshness.send_replace(local_mesh::mesh::ALWAYS_FRESH);
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(get(&mesh, 0, "/a/echo").await.summary(), (200, "whole", ""));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn monitoring_tells_health_readiness_and_requests() {
+async fn the_admin_port_reports_health_readiness_and_requests() {
     let mesh = Mesh::start(&["a"]).await;
     get(&mesh, 0, "/a/echo").await;
-    for (path, says) in [
+    for (path, expected_text) in [
         ("/healthz", "ok"),
         ("/readyz", "ready"),
         ("/metrics", "outcome=\"whole\""),
     ] {
-        let seen = client::send(
+        let response = client::send(
             mesh[0].admin_address(),
             client::request("GET", path, &[], b""),
         )
         .await;
-        assert_eq!(seen.status, 200);
-        assert!(seen.text().contains(says), "{path}: {}", seen.text());
+        assert_eq!(response.status, 200);
+        assert!(
+            response.text().contains(expected_text),
+            "{path}: {}",
+            response.text()
+        );
     }
 }
 
-/// A target dies without a word, its node stays. Sent there for good, every
-/// request would fail until somebody noticed.
+/// A target crashes, its node does not. If requests were still routed there, they would fail
+/// until an operator intervenes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_target_is_lost_and_others_serve() {
+async fn a_crashed_target_is_removed_and_others_serve() {
     let mesh = Mesh::start(&["a", "a"]).await;
     mesh[0].target.stop.cancel();
     for _ in 0..20 {
@@ -485,6 +510,6 @@
     while mesh[0].node.own_state.borrow().target.is_some() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let seen = get(&mesh, 0, "/a/echo").await;
-    assert_eq!(seen.summary(), (200, "whole", ""));
+    let response = get(&mesh, 0, "/a/echo").await;
+    assert_eq!(response.summary(), (200, "whole", ""));
 }
--- a/tests/listener_close.rs
+++ b/tests/listener_close.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests that arrive while a listener closes.
+//! Requests that arrive while a listener closes are fixture, not reset.
 
 use {
     bytes::Bytes,
@@ -19,12 +19,12 @@
 };
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: node\r\n\r\n";
-/// Enough that an order of polling which loses a request is met.
+/// Enough connections that a poll order which loses a request would occur.
 const CONNECTION_COUNT: usize = 32;
-/// The listener's thread is busy from the first of these to the second, in
-/// which the last moment of silent connections falls.
-const BUSY_FROM: Duration = Duration::from_millis(900);
-const BUSY_UNTIL: Duration = Duration::from_millis(1100);
+/// The listener's thread is blocked between these times after the close; the idle time of
+/// the connections ends in between.
+const BLOCKED_FROM: Duration = Duration::from_millis(900);
+const BLOCKED_UNTIL: Duration = Duration::from_millis(1100);
 
 const LIMITS: ListenerLimits = ListenerLimits {
     connection_count: 100,
@@ -33,17 +33,17 @@
     stream_count: 10,
 };
 
-async fn answer(_request: Request<Incoming>) -> Response<AnswerBody> {
+async fn respond(_request: Request<Incoming>) -> Response<AnswerBody> {
     Response::new(AnswerBody::whole(Bytes::from_static(b"done")))
 }
 
-struct Served {
+struct Fixture {
     address: SocketAddr,
     closing: CancellationToken,
     task: JoinHandle<()>,
 }
 
-fn start() -> Served {
+fn start_listener() -> Fixture {
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     let closing = CancellationToken::new();
@@ -53,72 +53,72 @@
         closing.clone(),
         CancellationToken::new(),
         Arc::new(AtomicUsize::new(0)),
-        answer,
+        respond,
     ));
-    Served {
+    Fixture {
         address,
         closing,
         task,
     }
 }
 
-async fn is_answered(stream: &mut TcpStream) -> bool {
-    let mut seen = [0; 512];
-    match stream.read(&mut seen).await {
-        Ok(length) => seen[..length].starts_with(b"HTTP/1.1 200"),
+async fn reads_ok_response(stream: &mut TcpStream) -> bool {
+    let mut buffer = [0; 512];
+    match stream.read(&mut buffer).await {
+        Ok(length) => buffer[..length].starts_with(b"HTTP/1.1 200"),
         Err(_) => false,
     }
 }
 
-/// A request that arrived in the moment before its silent connection was closed
-/// was lost: the caller saw a reset and could not tell whether it had run.
+/// A request arrives just before its idle connection is closed. If it were lost, the caller
+/// would see a reset and could not tell whether the request ran.
 #[tokio::test]
-async fn requests_that_wait_when_silence_ends_are_answered() {
-    let served = start();
+async fn requests_pending_when_the_idle_time_ends_are_served() {
+    let fixture = start_listener();
     let mut streams = Vec::new();
     for _ in 0..CONNECTION_COUNT {
-        let mut stream = TcpStream::connect(served.address).await.unwrap();
+        let mut stream = TcpStream::connect(fixture.address).await.unwrap();
         stream.write_all(REQUEST).await.unwrap();
-        assert!(is_answered(&mut stream).await);
+        assert!(reads_ok_response(&mut stream).await);
         streams.push(stream);
     }
-    served.closing.cancel();
-    tokio::time::sleep(BUSY_FROM).await;
-    std::thread::sleep(BUSY_UNTIL - BUSY_FROM);
+    fixture.closing.cancel();
+    tokio::time::sleep(BLOCKED_FROM).await;
+    std::thread::sleep(BLOCKED_UNTIL - BLOCKED_FROM);
     for stream in &streams {
         assert_eq!(stream.try_write(REQUEST).unwrap(), REQUEST.len());
     }
     let mut answered_count = 0;
     for stream in &mut streams {
-        answered_count += usize::from(is_answered(stream).await);
+        answered_count += usize::from(reads_ok_response(stream).await);
     }
     assert_eq!(answered_count, CONNECTION_COUNT);
     drop(streams);
-    served.task.await.unwrap();
+    fixture.task.await.unwrap();
 }
 
-/// Connections that the system had accepted, but not yet the listener, were
-/// reset with their requests when it closed.
+/// The system has accepted connections that the listener has not accepted yet when it
+/// closes. They must not be reset, since they already contain requests.
 #[tokio::test]
-async fn connections_of_the_last_moment_are_served() {
-    let served = start();
-    // Until the listener waits.
-    let mut stream = TcpStream::connect(served.address).await.unwrap();
+async fn connections_pending_at_close_are_served() {
+    let fixture = start_listener();
+    // The response shows that the listener is accepting.
+    let mut stream = TcpStream::connect(fixture.address).await.unwrap();
     stream.write_all(REQUEST).await.unwrap();
-    assert!(is_answered(&mut stream).await);
-    served.closing.cancel();
+    assert!(reads_ok_response(&mut stream).await);
+    fixture.closing.cancel();
     let mut streams = Vec::new();
     for _ in 0..CONNECTION_COUNT {
-        let mut stream = std::net::TcpStream::connect(served.address).unwrap();
+        let mut stream = std::net::TcpStream::connect(fixture.address).unwrap();
         stream.write_all(REQUEST).unwrap();
         stream.set_nonblocking(true).unwrap();
         streams.push(TcpStream::from_std(stream).unwrap());
     }
     let mut answered_count = 0;
     for stream in &mut streams {
-        answered_count += usize::from(is_answered(stream).await);
+        answered_count += usize::from(reads_ok_response(stream).await);
     }
     assert_eq!(answered_count, CONNECTION_COUNT);
     drop((stream, streams));
-    served.task.await.unwrap();
+    fixture.task.await.unwrap();
 }
--- a/tests/local_mesh/client.rs
+++ b/tests/local_mesh/client.rs
@@ -1,4 +1,4 @@
-//! A caller with one connection for each request.
+//! A caller that opens a connection per request.
 
 use {
     bytes::Bytes,
@@ -9,12 +9,12 @@
     tokio::net::TcpStream,
 };
 
-/// What a caller sees.
+/// Response as received by a caller.
 #[derive(Debug)]
 pub struct Seen {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// The whole body, or nothing when it was cut short.
+    /// The complete body, or `None` if it was truncated.
     pub body: Option<Bytes>,
 }
 
@@ -29,7 +29,7 @@
         String::from_utf8(self.body.clone().unwrap_or_default().to_vec()).unwrap()
     }
 
-    /// Status, outcome and reason at a glance.
+    /// Status, outcome and reason; empty texts for missing headers.
     pub fn summary(&self) -> (u16, &str, &str) {
         let status = self.status.as_u16();
         (
--- a/tests/local_mesh/mesh.rs
+++ b/tests/local_mesh/mesh.rs
@@ -1,8 +1,8 @@
-//! Nodes with hand-made configuration and membership.
+//! Nodes with fixed configuration and membership, without gossip or a platform.
 
 use {
     super::{
-        alone::{LocalGuard, LocalQuota},
+        standalone::{LocalGuard, LocalQuota},
         target::Target,
     },
     clap::Parser,
@@ -78,26 +78,26 @@
     }
 }
 
-/// Nodes that know each other.
+/// Nodes that know each other as members.
 pub struct Mesh {
     pub instances: Arc<Vec<Instance>>,
-    /// Members that are no real nodes.
-    pub strangers: Strangers,
+    /// Members without a node.
+    pub fake_members: FakeMembers,
 }
 
-type Strangers = Arc<Mutex<Vec<Member>>>;
+type FakeMembers = Arc<Mutex<Vec<Member>>>;
 
 impl Mesh {
-    /// One node and target for each of these services.
+    /// Starts a node with a target for each of these services.
     pub async fn start(services: &[&str]) -> Self {
-        Self::start_with(services, &[]).await
+        Self::start_with_flags(services, &[]).await
     }
 
-    /// The same, with further flags of `dogwoodd`.
-    pub async fn start_with(services: &[&str], flags: &[&str]) -> Self {
+    /// Like [`Mesh::start`], with additional flags of `dogwoodd`.
+    pub async fn start_with_flags(services: &[&str], flags: &[&str]) -> Self {
         let mut instances = Vec::new();
         let ips: Vec<IpAddr> = services.iter().map(|_| next_ip()).collect();
-        // Each node is home to a share of the idempotency keys.
+        // Each node is the home of a share of the idempotency keys.
         let homes: Vec<String> = ips.iter().map(|ip| format!("node-{ip}")).collect();
         let mut ips = ips.into_iter();
         for service in services {
@@ -107,32 +107,35 @@
         }
         let mesh = Self {
             instances: Arc::new(instances),
-            strangers: Strangers::default(),
+            fake_members: FakeMembers::default(),
         };
         for instance in mesh.instances.iter() {
             instance.target.announce(false).await;
             tokio::spawn(Arc::clone(&instance.target).keep_announcing());
         }
-        mesh.spread();
-        let strangers = Arc::clone(&mesh.strangers);
-        tokio::spawn(spread_regularly(Arc::clone(&mesh.instances), strangers));
-        // The routing tables follow in tasks of their own.
+        mesh.publish_membership();
+        let fake_members = Arc::clone(&mesh.fake_members);
+        tokio::spawn(publish_periodically(
+            Arc::clone(&mesh.instances),
+            fake_members,
+        ));
+        // Background tasks update the routing tables.
         tokio::time::sleep(Duration::from_millis(50)).await;
         mesh
     }
 
-    pub fn spread(&self) {
-        spread(&self.instances, &self.strangers);
+    pub fn publish_membership(&self) {
+        publish_membership(&self.instances, &self.fake_members);
     }
 
-    /// Makes a member known that claims to have a target of this service.
+    /// Adds a member that claims to have a target of this service at this address.
     pub async fn add_stranger(&self, node_id: &str, service: &str, address: SocketAddr) {
         let mut member = member_of(&self.instances[0]);
         member.node_id = node_id.to_owned();
         member.ip = address.ip();
         member.ports.peer = address.port();
         member.target.as_mut().unwrap().service = service.to_owned();
-        self.strangers.lock().unwrap().push(member);
+        self.fake_members.lock().unwrap().push(member);
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
@@ -145,32 +148,32 @@
     }
 }
 
-/// Stands for gossip.
-async fn spread_regularly(instances: Arc<Vec<Instance>>, strangers: Strangers) {
+/// Replaces gossip: publishes the members every 20 ms.
+async fn publish_periodically(instances: Arc<Vec<Instance>>, fake_members: FakeMembers) {
     loop {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        spread(&instances, &strangers);
+        publish_membership(&instances, &fake_members);
     }
 }
 
-fn spread(instances: &[Instance], strangers: &Strangers) {
+fn publish_membership(instances: &[Instance], fake_members: &FakeMembers) {
     let mut members: Vec<Member> = instances.iter().map(member_of).collect();
-    members.extend(strangers.lock().unwrap().iter().cloned());
+    members.extend(fake_members.lock().unwrap().iter().cloned());
     members.sort_by(|a, b| a.node_id.cmp(&b.node_id));
     let view = Arc::new(View { members });
     for instance in instances {
-        instance.view.send_if_modified(|known| {
-            let is_new = *known != view;
-            *known = Arc::clone(&view);
-            is_new
+        instance.view.send_if_modified(|current| {
+            let has_changed = *current != view;
+            *current = Arc::clone(&view);
+            has_changed
         });
     }
 }
 
 fn member_of(instance: &Instance) -> Member {
     let settings = &instance.node.settings;
-    let own = instance.node.own_state.borrow();
-    let state = match (own.left, own.draining) {
+    let own_state = instance.node.own_state.borrow();
+    let state = match (own_state.left, own_state.draining) {
         (true, _) => MemberState::Left,
         (false, true) => MemberState::Draining,
         (false, false) => MemberState::Alive,
@@ -189,7 +192,7 @@
         started_unix_ms: 1,
         incarnation: 0,
         state,
-        target: own.target.clone(),
+        target: own_state.target.clone(),
     }
 }
 
@@ -246,7 +249,7 @@
         running: running_receiver,
         evacuations: evacuations_receiver,
         view: view_receiver,
-        probes: answered_probes(),
+        probes: always_alive_probes(),
         own_state,
         freshness: freshness_receiver,
     });
@@ -264,14 +267,14 @@
     }
 }
 
-/// Probes that every member answers at once, as it does while its node lives.
-fn answered_probes() -> MemberProbes {
+/// Probes to which every member responds immediately.
+fn always_alive_probes() -> MemberProbes {
     let (probes, mut questions) = MemberProbes::new();
-    let answering = probes.clone();
+    let responder = probes.clone();
     tokio::spawn(async move {
         while let Some(question) = questions.recv().await {
             if let MemberQuestion::Lives(node_id) = question {
-                answering.answered(node_id);
+                responder.answered(node_id);
             }
         }
     });
@@ -283,7 +286,7 @@
         revision: 1,
         ..Running::default()
     };
-    // A service that only strangers claim to serve.
+    // "x" is a service that only fake members claim to have.
     for service in services.iter().chain(&["x"]) {
         let key = names.service(service);
         running.service_names.insert((*service).to_owned(), key);
--- a/tests/local_mesh/mod.rs
+++ b/tests/local_mesh/mod.rs
@@ -1,8 +1,8 @@
-//! Nodes and targets in one process for tests of the data path.
+//! In-process nodes and targets for tests of the data path.
 
 #![allow(dead_code, missing_docs)]
 
-pub mod alone;
 pub mod client;
 pub mod mesh;
+pub mod standalone;
 pub mod target;
--- a/tests/local_mesh/alone.rs
+++ b/tests/local_mesh/standalone.rs
@@ -1,4 +1,4 @@
-//! Quota and guard of a node that stands alone.
+//! Quota and idempotency guard without coordination between nodes.
 
 use {
     dogwoodbridge::{
@@ -11,24 +11,24 @@
     std::{collections::HashMap, sync::Mutex},
 };
 
-/// A token bucket per workspace on this node alone.
+/// A token bucket per workspace, local to this node.
 #[derive(Debug)]
 pub struct LocalQuota {
     timer: Timer,
     buckets: Mutex<HashMap<WorkspaceKey, Bucket>>,
 }
 
-/// Thousandths of tokens, so that small rates accrue between requests.
+/// Counts thousandths of tokens, so that small rates refill between requests.
 #[derive(Debug)]
 struct Bucket {
     milli_tokens: u64,
-    filled_us: u64,
+    refilled_us: u64,
 }
 
 const MILLI_TOKENS: u64 = 1000;
 
 impl LocalQuota {
-    /// Full buckets.
+    /// Creates capacity_milli_tokens buckets.
     #[must_use]
     pub fn new(timer: Timer) -> Self {
         Self {
@@ -37,25 +37,26 @@
         }
     }
 
-    fn take(&self, workspace: WorkspaceKey, rate: Rate, now_us: u64) -> Result<(), Refusal> {
-        let full = u64::from(rate.burst_count) * MILLI_TOKENS;
+    fn try_take(&self, workspace: WorkspaceKey, rate: Rate, now_us: u64) -> Result<(), Refusal> {
+        let capacity_milli_tokens = u64::from(rate.burst_count) * MILLI_TOKENS;
         let rate_per_s = u64::from(rate.rate_per_s);
         let mut buckets = self.buckets.lock().expect("lock is not poisoned");
         let bucket = buckets.entry(workspace).or_insert(Bucket {
-            milli_tokens: full,
-            filled_us: now_us,
+            milli_tokens: capacity_milli_tokens,
+            refilled_us: now_us,
         });
-        let gained = now_us.saturating_sub(bucket.filled_us) * rate_per_s / 1000;
-        if gained > 0 {
-            bucket.milli_tokens = (bucket.milli_tokens + gained).min(full);
-            bucket.filled_us = now_us;
+        let gained_milli_tokens = now_us.saturating_sub(bucket.refilled_us) * rate_per_s / 1000;
+        if gained_milli_tokens > 0 {
+            bucket.milli_tokens =
+                (bucket.milli_tokens + gained_milli_tokens).min(capacity_milli_tokens);
+            bucket.refilled_us = now_us;
         }
         if bucket.milli_tokens >= MILLI_TOKENS {
             bucket.milli_tokens -= MILLI_TOKENS;
             return Ok(());
         }
-        let missing = MILLI_TOKENS - bucket.milli_tokens;
-        let wait_ms = missing.checked_div(rate_per_s).unwrap_or(1000) + 1;
+        let missing_milli_tokens = MILLI_TOKENS - bucket.milli_tokens;
+        let wait_ms = missing_milli_tokens.checked_div(rate_per_s).unwrap_or(1000) + 1;
         let wait_ms = u32::try_from(wait_ms).unwrap_or(u32::MAX);
         Err(Refusal::not_run(Reason::OverQuota).with_retry_after_ms(wait_ms))
     }
@@ -68,14 +69,14 @@
         rate: Rate,
         _class: Class,
     ) -> Result<(), Refusal> {
-        self.take(workspace, rate, self.timer.now_us())
+        self.try_take(workspace, rate, self.timer.now_us())
     }
 }
 
-/// Idempotency keys in the memory of fixed homes, kept without limit.
+/// Idempotency keys in the memory of a fixed set of home nodes, without expiry.
 #[derive(Debug, Default)]
 pub struct LocalGuard {
-    own: String,
+    own_node_id: String,
     homes: Vec<String>,
     records: Mutex<HashMap<GuardKey, Record>>,
 }
@@ -89,16 +90,17 @@
 #[derive(Debug)]
 enum RecordState {
     InProgress,
-    Answered(StoredAnswer),
+    Completed(StoredAnswer),
     Unknown,
 }
 
 impl LocalGuard {
-    /// A guard on this node for keys that are spread over these homes.
+    /// Creates the guard of a node; keys are distributed over `homes` by hash. Without
+    /// homes, the node owns all keys.
     #[must_use]
-    pub fn new(own: &str, homes: Vec<String>) -> Self {
+    pub fn new(own_node_id: &str, homes: Vec<String>) -> Self {
         Self {
-            own: own.to_owned(),
+            own_node_id: own_node_id.to_owned(),
             homes,
             records: Mutex::default(),
         }
@@ -112,7 +114,7 @@
         }
         let index = key.key_hash % self.homes.len() as u128;
         let home = &self.homes[usize::try_from(index).unwrap_or(0)];
-        if *home == self.own {
+        if *home == self.own_node_id {
             Ok(Home::Own)
         } else {
             Ok(Home::Node(home.clone()))
@@ -134,19 +136,19 @@
         }
         match &record.state {
             RecordState::InProgress => Begin::Refuse(Refusal::unknown(Reason::InProgress)),
-            RecordState::Answered(answer) => Begin::Replay(answer.clone()),
+            RecordState::Completed(response) => Begin::Replay(response.clone()),
             RecordState::Unknown => Begin::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
         }
     }
 
-    fn finish(&self, key: GuardKey, finish: Finish) {
+    fn finish(&self, key: GuardKey, result: Finish) {
         let mut records = self.records.lock().expect("lock is not poisoned");
-        let state = match finish {
+        let state = match result {
             Finish::NotRun => {
                 records.remove(&key);
                 return;
             }
-            Finish::Answered(answer) => RecordState::Answered(answer),
+            Finish::Answered(response) => RecordState::Completed(response),
             Finish::Unknown => RecordState::Unknown,
         };
         if let Some(record) = records.get_mut(&key) {
--- a/tests/local_mesh/target.rs
+++ b/tests/local_mesh/target.rs
@@ -1,4 +1,4 @@
-//! A target whose paths say what it does.
+//! A target whose behaviour is selected by the request path.
 
 use {
     super::client,
@@ -25,23 +25,23 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// One execution as the target saw it.
+/// A request that the target executed.
 #[derive(Debug, Clone)]
 pub struct Execution {
     pub path: String,
     pub headers: Vec<(String, String)>,
     pub body: Bytes,
-    pub ended: bool,
+    pub is_completed: bool,
 }
 
-type Journal = Arc<Mutex<Vec<Execution>>>;
+type Recorder = Arc<Mutex<Vec<Execution>>>;
 type Body = BoxBody<Bytes, std::io::Error>;
 
 /// A running target.
 pub struct Target {
     pub service: String,
     pub port: u16,
-    pub journal: Journal,
+    pub recorder: Recorder,
     pub stop: CancellationToken,
     draining: AtomicBool,
     egress: SocketAddr,
@@ -53,7 +53,7 @@
         let target = Arc::new(Self {
             service: service.to_owned(),
             port: listener.local_addr().unwrap().port(),
-            journal: Journal::default(),
+            recorder: Recorder::default(),
             stop: CancellationToken::new(),
             draining: AtomicBool::new(false),
             egress,
@@ -62,7 +62,7 @@
         target
     }
 
-    /// Repeats what it announced last, as targets do, until it stops.
+    /// Repeats the last announcement every second until the target or its node stops.
     pub async fn keep_announcing(self: Arc<Self>) {
         while !self.stop.is_cancelled() {
             tokio::time::sleep(Duration::from_secs(1)).await;
@@ -80,12 +80,17 @@
             "slots": 64, "connections": 128, "draining": draining,
         });
         let request = client::request("POST", "/-/announce", &[], body.to_string().as_bytes());
-        let seen = client::send(self.egress, request).await;
-        assert_eq!(seen.status, StatusCode::NO_CONTENT, "{}", seen.text());
+        let response = client::send(self.egress, request).await;
+        assert_eq!(
+            response.status,
+            StatusCode::NO_CONTENT,
+            "{}",
+            response.text()
+        );
     }
 
     pub fn executions(&self) -> Vec<Execution> {
-        self.journal.lock().unwrap().clone()
+        self.recorder.lock().unwrap().clone()
     }
 
     async fn accept(self: Arc<Self>, listener: TcpListener) {
@@ -122,14 +127,14 @@
         let headers = headers.collect();
         let body = body.collect().await.unwrap().to_bytes();
         let index = {
-            let mut journal = self.journal.lock().unwrap();
-            journal.push(Execution {
+            let mut executions = self.recorder.lock().unwrap();
+            executions.push(Execution {
                 path: path.clone(),
                 headers,
                 body,
-                ended: false,
+                is_completed: false,
             });
-            journal.len() - 1
+            executions.len() - 1
         };
         let handle = parts.headers.get("dogwood-call").cloned();
         let mut response = self.respond(&path, handle.as_ref()).await;
@@ -138,84 +143,84 @@
         {
             response.headers_mut().insert("dogwood-call", handle);
         }
-        self.journal.lock().unwrap()[index].ended = true;
+        self.recorder.lock().unwrap()[index].is_completed = true;
         response
     }
 
     async fn respond(&self, path: &str, handle: Option<&HeaderValue>) -> Response<Body> {
         let mut segments = path.trim_start_matches('/').splitn(3, '/');
-        let (verb, first) = (segments.next().unwrap(), segments.next());
+        let (action, argument) = (segments.next().unwrap(), segments.next());
         let rest = segments.next();
-        match (verb, first) {
-            ("chain", Some(next)) => self.call_next(next, rest, handle).await,
+        match (action, argument) {
+            ("chain", Some(service)) => self.call_downstream(service, rest, handle).await,
             ("slow", Some(ms)) => {
                 tokio::time::sleep(Duration::from_millis(ms.parse().unwrap())).await;
-                whole(200, "slow")
+                complete_response(200, "slow")
             }
-            ("big", Some(bytes)) => whole(200, &"x".repeat(bytes.parse().unwrap())),
-            ("cut", Some(bytes)) => cut(bytes.parse().unwrap()),
-            ("shed", _) => shed(),
+            ("big", Some(bytes)) => complete_response(200, &"x".repeat(bytes.parse().unwrap())),
+            ("cut", Some(bytes)) => truncated_response(bytes.parse().unwrap()),
+            ("shed", _) => shed_response(),
             ("cut-then-shed", Some(bytes)) if self.executions().len() <= 1 => {
-                cut(bytes.parse().unwrap())
+                truncated_response(bytes.parse().unwrap())
             }
-            ("cut-then-shed", _) => shed(),
-            ("fail", _) => whole(503, "failed"),
-            _ => whole(200, &format!("{} ran", self.service)),
+            ("cut-then-shed", _) => shed_response(),
+            ("fail", _) => complete_response(503, "failed"),
+            _ => complete_response(200, &format!("{} ran", self.service)),
         }
     }
 
-    async fn call_next(
+    async fn call_downstream(
         &self,
-        next: &str,
+        service: &str,
         rest: Option<&str>,
         handle: Option<&HeaderValue>,
     ) -> Response<Body> {
         let path = match rest {
             Some(rest) if rest.starts_with("slow/") || rest.starts_with("cut/") => {
-                format!("/{next}/{rest}")
+                format!("/{service}/{rest}")
             }
-            Some(rest) => format!("/{next}/chain/{rest}"),
-            None => format!("/{next}/echo"),
+            Some(rest) => format!("/{service}/chain/{rest}"),
+            None => format!("/{service}/echo"),
         };
         let handle = handle.map_or("", |handle| handle.to_str().unwrap());
         let request = client::request("GET", &path, &[("dogwood-call", handle)], b"");
-        let seen = client::send(self.egress, request).await;
-        whole(
-            seen.status.as_u16(),
-            &format!("{} > {}", self.service, seen.text()),
+        let response = client::send(self.egress, request).await;
+        complete_response(
+            response.status.as_u16(),
+            &format!("{} > {}", self.service, response.text()),
         )
     }
 }
 
-fn whole(status: u16, text: &str) -> Response<Body> {
+fn complete_response(status: u16, text: &str) -> Response<Body> {
     let body = Full::new(Bytes::copy_from_slice(text.as_bytes()));
     let body = body.map_err(|never| match never {}).boxed();
     Response::builder().status(status).body(body).unwrap()
 }
 
-/// Refuses before beginning.
-fn shed() -> Response<Body> {
-    let mut response = whole(503, "shed");
+/// Sheds the request without executing it.
+fn shed_response() -> Response<Body> {
+    let mut response = complete_response(503, "shed");
     let not_run = HeaderValue::from_static("not-run");
     response.headers_mut().insert("dogwood-shed", not_run);
     response
 }
 
-/// States a length, sends half of it and breaks the connection.
-fn cut(bytes: usize) -> Response<Body> {
-    let half = Bytes::from(vec![b'x'; bytes / 2]);
+/// Announces a content length, sends half of it and breaks the connection.
+fn truncated_response(length_bytes: usize) -> Response<Body> {
+    let half = Bytes::from(vec![b'x'; length_bytes / 2]);
     let frames = stream::unfold(Some(half), |half| async move {
         match half {
             Some(half) => Some((Ok(Frame::data(half)), None)),
             None => {
-                // The half gets out before the break.
+                // The sent half must arrive before the connection breaks.
                 tokio::time::sleep(Duration::from_millis(50)).await;
-                Some((Err(std::io::Error::other("cut")), None))
+                Some((Err(std::io::Error::other("truncated")), None))
             }
         }
     });
     Response::builder()
-        .header("content-length", bytes)
+        .header("content-length", length_bytes)
         .body(BoxBody::new(StreamBody::new(Box::pin(frames)
             as std::pin::Pin<
                 Box<dyn futures::Stream<Item = Result<Frame<Bytes>, std::io::Error>> + Send + Sync>,
