--- a/benches/quota.rs
+++ b/benches/quota.rs
@@ -3,12 +3,14 @@
 use {
     dogwoodbridge::{
         freshness::{Freshness, Snapshot},
-        guard::{Finish, GuardTable, GuardTime, History, KeyedRequest, StoredAnswer},
+        guard::{
+            ExecutionResult, GuardTable, GuardTime, KeyedRequest, SliceHistory, StoredResponse,
+        },
         membership::{Member, MemberPorts, MemberState, View},
         model::{Class, Names, WorkspaceKey},
         quota::{self, QuotaGate, QuotaInputs, Rate, Rates},
         rpc,
-        slices::{Observed, Planner, SliceIndex, SliceTable, Slot},
+        slices::{Planner, PlannerInput, SliceIndex, SliceTable, Slot},
         timer::Timer,
     },
     std::{
@@ -48,8 +50,8 @@
 }
 
 fn report(what: &str, count: u32, elapsed: Duration) {
-    let each_ns = elapsed.as_nanos() / u128::from(count);
-    println!("{what}: {each_ns} ns each, {count} times");
+    let mean_ns = elapsed.as_nanos() / u128::from(count);
+    println!("{what}: {mean_ns} ns each, {count} times");
 }
 
 #[tokio::main(flavor = "current_thread")]
@@ -66,7 +68,7 @@
     let view = View {
         members: vec![member],
     };
-    let always = Snapshot {
+    let always_fresh = Snapshot {
         freshness: Freshness::Fresh,
         valid_until_ms: u64::MAX,
         quota_until_ms: u64::MAX,
@@ -74,7 +76,7 @@
     let names = Names::new();
     let workspace = names.workspace("shop");
     let (_view, view) = watch::channel(Arc::new(view));
-    let (_freshness, freshness) = watch::channel(always);
+    let (_freshness, freshness) = watch::channel(always_fresh);
     let (_rates, rates) = watch::channel(Arc::new(Rates::from([(workspace, RATE)])));
     let (client, _calls) = rpc::channel();
     let quota = quota::spawn(QuotaInputs {
@@ -96,7 +98,7 @@
         admitted_count += u32::from(quota.admit(workspace, RATE, Class::Standard).await.is_ok());
     }
     report(
-        "admit, asks of the bank included",
+        "admit, including borrow requests",
         ADMIT_COUNT,
         started.elapsed(),
     );
@@ -105,8 +107,8 @@
 
 fn guard() {
     let mut table = GuardTable::new(1);
-    let history = History {
-        since_version: 1,
+    let history = SliceHistory {
+        since_epoch: 1,
         known_since_unix_ms: 0,
     };
     SliceIndex::all().for_each(|slice| table.hold(slice, history));
@@ -114,7 +116,7 @@
         now_ms: 1,
         unix_ms: 1_700_000_000_000,
     };
-    let answer = StoredAnswer {
+    let response = StoredResponse {
         status: 200,
         headers: vec![],
         body: bytes::Bytes::from_static(b"done"),
@@ -124,7 +126,11 @@
         let header = format!("order {number}");
         let request = KeyedRequest::new(WorkspaceKey::new(0), "shop", &header, 1);
         table.begin(&request, time, Freshness::Fresh);
-        table.finish(request.key, Finish::Answered(answer.clone()), time);
+        table.finish(
+            request.key,
+            ExecutionResult::Responded(response.clone()),
+            time,
+        );
     }
     report("begin and finish a key", KEY_COUNT, started.elapsed());
 }
@@ -135,7 +141,7 @@
     let view = View { members };
     let mut planner = Planner::new(own.clone());
     let table = SliceTable::new(own.clone());
-    let observed = |table, now_ms| Observed {
+    let observed = |table, now_ms| PlannerInput {
         table,
         view: &view,
         freshness: Freshness::Fresh,
--- a/src/egress/announce.rs
+++ b/src/egress/announce.rs
@@ -9,7 +9,7 @@
         exchange::{AnswerBody, Collected, collect},
         membership::Announcement,
         node::{Node, Policies},
-        target::{PoolTarget, Standing},
+        target::{NoticeStatus, PoolTarget},
     },
     hyper::{Request, Response, body::Incoming},
 };
@@ -48,7 +48,7 @@
         } => record_leave(node, &instance_id, started_unix_ms),
         TargetNotice::Load { busy_ratio } => {
             let received_us = node.timer.now_us();
-            node.admission().report(LoadReport {
+            node.admission().record_load_report(LoadReport {
                 busy_ratio,
                 received_us,
             });
@@ -69,10 +69,10 @@
         sequence,
         cold_left_ms,
     } = heartbeat;
-    let notice_status = node
-        .registration()
-        .alive(&instance_id, started_unix_ms, sequence);
-    if notice_status == Standing::Outdated {
+    let notice_status =
+        node.registration()
+            .record_heartbeat(&instance_id, started_unix_ms, sequence);
+    if notice_status == NoticeStatus::Outdated {
         event!(
             Event::NoticeOutdated,
             "instance={instance_id} started_unix_ms={started_unix_ms} sequence={sequence:?}"
@@ -126,7 +126,9 @@
 }
 
 fn record_leave<P: Policies>(node: &Node<P>, instance_id: &str, started_unix_ms: Option<u64>) {
-    let is_present = node.registration().leave(instance_id, started_unix_ms);
+    let is_present = node
+        .registration()
+        .record_leave(instance_id, started_unix_ms);
     event!(
         Event::TargetLeaving,
         "instance={instance_id} is_present={is_present}"
--- a/src/egress/attempts.rs
+++ b/src/egress/attempts.rs
@@ -188,7 +188,8 @@
     log_pick(node, call, target, tried.len());
     let outstanding = OutstandingAttempt::new(node, target, started_us);
     if tried.is_empty() {
-        node.retries().first_attempt(call.service, started_us);
+        node.retries()
+            .record_first_attempt(call.service, started_us);
     }
     tried.push(target);
     node.metrics.attempts.inc();
@@ -199,7 +200,7 @@
     let allotment = child.map_or(0, |child| child.allotment);
     let context = context_of(call, remaining_us, allotment);
     let hop = match location {
-        TargetLocation::Own => {
+        TargetLocation::Local => {
             let (result, unspent) = serve_local(node, &context, outbound).await;
             HopResult {
                 result,
@@ -226,7 +227,7 @@
         .level
         .filter(|_| P::Dialect::CALLS_LIKE_CALLERS && !call.begins_chain())
     {
-        node.downstream().note_level(level, node.timer.now_us());
+        node.downstream().record_level(level, node.timer.now_us());
     }
     outstanding.end(attempt_result(&hop.result), hop.level);
     hop.result
@@ -289,7 +290,7 @@
     let service = node.names.service_name(call.service);
     let class = call.class.name();
     let routes = node.routes();
-    let node_name = routes.node_of(target);
+    let node_name = routes.node_name(target);
     event!(
         Event::RoutePicked,
         "request={id} service={service} class={class} node={node_name} tried={tried_count}"
@@ -298,7 +299,7 @@
 
 const fn attempt_result(result: &Result<Answer, Refusal>) -> AttemptResult {
     match result {
-        Ok(_) => AttemptResult::Answered,
+        Ok(_) => AttemptResult::Completed,
         Err(refusal) => match refusal.reason {
             Reason::ConnectionLost | Reason::BadAnswer | Reason::DeadlineExceeded => {
                 AttemptResult::Failed
@@ -337,7 +338,7 @@
         let mut routes = self.node.routes();
         routes
             .policy()
-            .end(self.target, result, latency_us, level, now_us);
+            .end_attempt(self.target, result, latency_us, level, now_us);
     }
 }
 
--- a/src/ingress/serve.rs
+++ b/src/ingress/serve.rs
@@ -54,7 +54,7 @@
         header_timeout: Duration::from_millis(node.settings.caller_read_timeout_ms),
         stream_count: MAX_STREAMS,
     };
-    let (closing, stopped) = (node.closing.clone(), node.stopped.clone());
+    let (closing, stopped) = (node.callers_closing.clone(), node.stopped.clone());
     let open_count = Arc::clone(&node.caller_connection_count);
     let handler = CallerHandler(node);
     serve(listener, limits, closing, stopped, open_count, handler).await;
@@ -102,7 +102,7 @@
     mut head: Parts,
     mut body: Option<Incoming>,
 ) -> Response<AnswerBody> {
-    let _in_flight = node.begin();
+    let _in_flight = node.begin_request();
     let is_http1 = head.version <= Version::HTTP_11;
     let started_us = node.timer.now_us();
     let mut request_info = RequestInfo::default();
@@ -234,7 +234,7 @@
         Err(_) => true,
     };
     let now_us = node.timer.now_us();
-    node.downstream().note(is_failure, now_us);
+    node.downstream().record_call(is_failure, now_us);
 }
 
 /// Admits the request by the workspace's rate; returns the workspace and key that it
--- a/tests/local_mesh/standalone.rs
+++ b/tests/local_mesh/standalone.rs
@@ -2,7 +2,7 @@
 
 use {
     dogwoodbridge::{
-        guard::{Begin, Finish, GuardKey, KeyedRequest, StoredAnswer},
+        guard::{BeginDecision, ExecutionResult, GuardKey, KeyedRequest, StoredResponse},
         model::{Class, Reason, Refusal, WorkspaceKey},
         node::{Home, KeyGuard},
         quota::{QuotaGate, Rate},
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 enum RecordState {
     InProgress,
-    Completed(StoredAnswer),
+    Completed(StoredResponse),
     Unknown,
 }
 
@@ -110,18 +110,18 @@
 impl KeyGuard for LocalGuard {
     fn home(&self, key: GuardKey) -> Result<Home, Refusal> {
         if self.homes.is_empty() {
-            return Ok(Home::Own);
+            return Ok(Home::Local);
         }
         let index = key.key_hash % self.homes.len() as u128;
         let home = &self.homes[usize::try_from(index).unwrap_or(0)];
         if *home == self.own_node_id {
-            Ok(Home::Own)
+            Ok(Home::Local)
         } else {
             Ok(Home::Node(home.clone()))
         }
     }
 
-    fn begin(&self, call: KeyedRequest) -> Begin {
+    fn begin(&self, call: KeyedRequest) -> BeginDecision {
         let mut records = self.records.lock().expect("lock is not poisoned");
         let Some(record) = records.get(&call.key) else {
             let record = Record {
@@ -129,27 +129,27 @@
                 state: RecordState::InProgress,
             };
             records.insert(call.key, record);
-            return Begin::Execute;
+            return BeginDecision::Execute;
         };
         if record.fingerprint != call.fingerprint {
-            return Begin::Refuse(Refusal::not_run(Reason::KeyReused));
+            return BeginDecision::Refuse(Refusal::not_run(Reason::KeyReused));
         }
         match &record.state {
-            RecordState::InProgress => Begin::Refuse(Refusal::unknown(Reason::InProgress)),
-            RecordState::Completed(response) => Begin::Replay(response.clone()),
-            RecordState::Unknown => Begin::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
+            RecordState::InProgress => BeginDecision::Refuse(Refusal::unknown(Reason::InProgress)),
+            RecordState::Completed(response) => BeginDecision::Replay(response.clone()),
+            RecordState::Unknown => BeginDecision::Refuse(Refusal::unknown(Reason::EarlierUnknown)),
         }
     }
 
-    fn finish(&self, key: GuardKey, result: Finish) {
+    fn finish(&self, key: GuardKey, result: ExecutionResult) {
         let mut records = self.records.lock().expect("lock is not poisoned");
         let state = match result {
-            Finish::NotRun => {
+            ExecutionResult::NotRun => {
                 records.remove(&key);
                 return;
             }
-            Finish::Answered(response) => RecordState::Completed(response),
-            Finish::Unknown => RecordState::Unknown,
+            ExecutionResult::Responded(response) => RecordState::Completed(response),
+            ExecutionResult::Unknown => RecordState::Unknown,
         };
         if let Some(record) = records.get_mut(&key) {
             record.state = state;
