--- a/src/egress/attempts.rs
+++ b/src/egress/attempts.rs
@@ -27,8 +27,7 @@
 /// The margin is at most the remaining time divided by this.
 const HOP_MARGIN_DIVISOR: u64 = 10;
 
-/// Most retries of a call that are not charged to the retry budget: those after attempts
-/// that reached no target.
+/// Most retries, after attempts that reached no target, outside the retry budget.
 const MAX_FREE_RETRIES: usize = 3;
 
 /// A call that this node sends to a target.
@@ -65,8 +64,7 @@
     }
 }
 
-/// Sends a call until an attempt completes, is refused for good, or the deadline or the
-/// retry budget is exhausted.
+/// Sends a call until it completes or the refusal, deadline or budget allows no retry.
 pub async fn run_attempts<P: Policies>(
     node: &Arc<Node<P>>,
     call: &Call,
--- a/src/exchange/body.rs
+++ b/src/exchange/body.rs
@@ -142,9 +142,8 @@
     }
 }
 
-/// Forwards a large body, `head` followed by `rest`, until it is complete, `limit` has
-/// passed or the receiver is closed. Then calls `done` with `guard` and whether the body
-/// is complete.
+/// Forwards `head` and `rest` until the end, the time limit or a closed receiver; then calls
+/// `done` with `guard` and whether the body is complete.
 pub fn pump<G: Send + 'static>(
     head: Bytes,
     mut rest: Incoming,
--- a/src/exchange/headers.rs
+++ b/src/exchange/headers.rs
@@ -35,8 +35,8 @@
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("dogwood-retry-after-ms");
 /// Set to `not-run` by a target that shed a request without executing any of it.
 ///
-/// This is not the outcome header: a target that copies the response headers of its own
-/// downstream call would report by accident that it did not run itself.
+/// Not the outcome header: a target that copies the headers of a downstream response would
+/// report by accident that it did not run itself.
 pub const SHED: HeaderName = HeaderName::from_static("dogwood-shed");
 
 const INTERNAL_PREFIX: &str = "dogwood-";
--- a/src/exchange/listener.rs
+++ b/src/exchange/listener.rs
@@ -47,10 +47,9 @@
 /// Time for which an HTTP/1 connection must be idle before it is closed when the listener
 /// closes.
 ///
-/// Callers keep connections open and may send at any time. If a connection is closed while
-/// a request is in transit, the caller sees a reset. Responses contain `Connection: close`
-/// by then, so that active connections end with their next response, and idle ones are
-/// unlikely to be used again.
+/// A caller whose request is in transit when its connection closes sees a reset. Responses
+/// contain `Connection: close` by then: active connections end with their next response,
+/// and idle ones are unlikely to be used again.
 const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(1000);
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
 const CONNECTION_WINDOW_BYTES: u32 = 8 << 20;
@@ -76,8 +75,8 @@
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<AnswerBody>> + Send + 'static;
 
-    /// Starts a pipelined request without a body before its turn; `None` leaves it to its
-    /// turn. A request that may be executed only once must not be started early.
+    /// Starts a pipelined request without a body early; `None` for one that may be executed
+    /// only once.
     fn start_early(&self, _head: &Parts) -> Option<EarlyResponse> {
         None
     }
@@ -173,8 +172,8 @@
         });
     }
 
-    /// Starts the connections that the system has already accepted for the listener, which
-    /// are reset when it is dropped; the runtime is notified of them later.
+    /// Starts connections that the system has accepted but the runtime has not reported yet;
+    /// they would be reset with the listener.
     fn start_pending(&self, listener: TcpListener) -> std::io::Result<()> {
         let listener = listener.into_std()?;
         loop {
@@ -203,8 +202,8 @@
     let service_pipeline = pipeline.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         let active_request = ActiveRequest::new(&service_usage, request.version());
-        // Boxed, since the library reserves space for the future as long as the connection
-        // is open, and most connections are idle.
+        // Boxed: the library reserves space for it while the connection is open, and most
+        // connections are idle.
         let handling = Box::pin(handle_in_order(
             handler.clone(),
             service_pipeline.clone(),
@@ -255,8 +254,7 @@
     }
 }
 
-/// Handles a request when its turn comes, or returns the response of one that was started
-/// early.
+/// Handles a request in its turn, or returns the response if it was started early.
 async fn handle_in_order<H: Handler>(
     handler: H,
     pipeline: Pipeline,
@@ -358,8 +356,8 @@
         .http2()
         .timer(TokioTimer::new())
         .max_concurrent_streams(limits.stream_count)
-        // A peer that cancels many requests at once is not an attacker. The default limit
-        // of 20 would close its connection and fail all other requests on it.
+        // A node may cancel many requests at once; the default limit of 20 would close its
+        // connection with all other requests on it.
         .max_pending_accept_reset_streams(limits.stream_count as usize)
         .initial_stream_window_size(STREAM_WINDOW_BYTES)
         .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP requests and responses that pass through a node: listeners, headers and bodies.
+//! HTTP requests and responses that pass through a node.
 
 mod body;
 mod headers;
--- a/src/exchange/pipeline.rs
+++ b/src/exchange/pipeline.rs
@@ -71,8 +71,8 @@
         Self::default()
     }
 
-    /// Parses bytes read from the caller. `start_early` starts a request that waits for
-    /// others, or returns `None` to leave it to its turn.
+    /// Parses bytes from the caller. `start_early` starts a waiting request, or declines with
+    /// `None`.
     pub fn record_bytes(
         &self,
         bytes: &[u8],
@@ -101,8 +101,7 @@
         state.unparsed = BytesMut::new();
     }
 
-    /// Returns the response of this request, the next one in order, if it was started
-    /// early. Called when the library starts the request.
+    /// Response of the request that the library starts next, if it was started early.
     #[must_use]
     pub fn take_response<B>(&self, request: &Request<B>) -> Option<EarlyResponse> {
         let mut state = self.locked();
--- a/src/exchange/prefetch.rs
+++ b/src/exchange/prefetch.rs
@@ -24,8 +24,7 @@
     },
 };
 
-/// Most bytes that are read ahead. A caller that sends more waits until previous requests
-/// are served.
+/// Most bytes that are read ahead; a caller that sends more waits for its previous requests.
 const MAX_AHEAD_BYTES: usize = 64 << 10;
 /// Buffer space for one read.
 const READ_CHUNK_BYTES: usize = 4 << 10;
@@ -57,7 +56,7 @@
     writer: OwnedWriteHalf,
 }
 
-/// Task state that reads ahead.
+/// Reader that reads ahead.
 #[derive(Debug)]
 pub struct Prefetch {
     shared: Arc<Shared>,
@@ -89,8 +88,7 @@
     }
 }
 
-/// Splits a connection into the stream for the library and the task state that reads
-/// ahead for it.
+/// Splits a connection into the stream for the library and its reader.
 #[must_use]
 pub fn prefetch(stream: TcpStream) -> (Prefetched, Prefetch) {
     let (reader, writer) = stream.into_split();
@@ -104,7 +102,7 @@
 }
 
 impl Prefetch {
-    /// Returns a check for bytes of this connection that the library has not read yet.
+    /// Returns a check for unread bytes of this connection.
     #[must_use]
     pub fn unread(&self) -> Unread {
         Unread {
@@ -113,8 +111,7 @@
         }
     }
 
-    /// Reads until the caller closes its side or an error occurs; `on_read` gets the bytes
-    /// of each read.
+    /// Reads until the caller closes its side or an error; `on_read` gets the bytes.
     pub async fn run(self, on_read: impl Fn(&[u8])) {
         loop {
             self.wait_for_room().await;
--- a/src/ingress/checks.rs
+++ b/src/ingress/checks.rs
@@ -135,8 +135,8 @@
         })
 }
 
-/// Returns the idempotency key, or `None` without one. Fails if the header is given
-/// more than once or is not 1 to 128 visible ASCII characters.
+/// Idempotency key, if any; fails unless it is given once, as 1 to 128 visible ASCII
+/// characters.
 pub fn check_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Rejection> {
     let mut values = headers.get_all(IDEMPOTENCY_KEY).iter();
     let Some(value) = values.next() else {
@@ -152,8 +152,8 @@
     Ok(value.to_str().ok().map(str::to_owned))
 }
 
-/// Removes tenant key, internal and connection headers, content length and `Expect`.
-/// Logs an internal header other than `expected`, since only nodes may set them.
+/// Removes tenant key, internal and connection headers; logs an internal header other
+/// than `expected`, since only nodes may set them.
 pub fn strip(headers: &mut HeaderMap, expected: Option<&HeaderName>) {
     let forged_name = headers
         .keys()
@@ -167,8 +167,8 @@
     headers.remove(EXPECT);
 }
 
-/// Reads and drops the rest of a refused request's body, unless the sender waits for
-/// `100 Continue` before it sends the body.
+/// Discards the rest of a refused request's body, unless the sender waits for
+/// `100 Continue` before sending it.
 pub async fn discard_body(head: &HeaderMap, body: &mut Incoming) {
     if !head.contains_key(EXPECT) {
         discard(body).await;
--- a/src/ingress/serve.rs
+++ b/src/ingress/serve.rs
@@ -1,5 +1,4 @@
-//! Serves requests of callers: reads the request, checks key and quota, dispatches it
-//! and records its result.
+//! Serves requests of callers: checks key and quota, dispatches, records the result.
 
 use {
     super::{Rejection, check_head_size, discard_body, read_body},
@@ -37,13 +36,11 @@
 const ANONYMOUS_WORKSPACE: &str = "";
 /// Number of open caller connections above which a refused request's connection is closed.
 ///
-/// Callers retry on new connections and leave the old ones open until a long idle
-/// timeout. When many requests are refused, thousands of connections accumulate: memory
-/// grows to four times the usual, and file descriptors run out, so that callers within
-/// their rate cannot connect.
+/// Callers retry on new connections and leave the old ones open for long. If many are
+/// refused, thousands accumulate: memory grows to four times the usual, file descriptors
+/// run out, and callers within their rate cannot connect.
 const CLOSE_REFUSED_ABOVE_COUNT: usize = 256;
-/// Retry delay for callers of a node that cannot confirm keys: about the duration of a
-/// short outage of the platform.
+/// Retry delay if a key cannot be confirmed: about as long as a short platform outage.
 const UNCONFIRMED_KEY_RETRY_AFTER_MS: u32 = 1000;
 
 /// Serves callers until the node's drain has closed their connections.
@@ -237,8 +234,7 @@
     node.downstream().record_call(is_failure, now_us);
 }
 
-/// Admits the request by the workspace's rate; returns the workspace and key that it
-/// runs for.
+/// Admits the request by the workspace's rate; returns its workspace and key.
 async fn admit_tenant<P: Policies>(
     node: &Node<P>,
     request: &CallerRequest,
@@ -263,8 +259,8 @@
     }
 }
 
-/// Refuses a key that could not be confirmed for longer than its lease: it may have been
-/// revoked without this node's knowledge, and its holder would still be served.
+/// Refuses a key that could not be confirmed for longer than its lease, since it may have
+/// been revoked without this node's knowledge and would stay usable.
 fn check_lease<P: Policies>(node: &Node<P>, tenant: &Tenant) -> Result<(), Rejection> {
     if node.freshness() != Freshness::CutOff {
         return Ok(());
--- a/tests/datapath.rs
+++ b/tests/datapath.rs
@@ -15,8 +15,7 @@
     client::send(mesh[entry].caller_address(), request).await
 }
 
-/// A call chain over four nodes completes from every entry, and targets see neither tenant
-/// keys nor headers between nodes.
+/// Chains complete from every entry; targets see neither tenant keys nor internal headers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_chain_of_four_calls_completes() {
     let mesh = Mesh::start(&["a", "b", "c", "d"]).await;
@@ -356,8 +355,7 @@
     assert!(!mesh[1].target.executions()[0].is_completed);
 }
 
-/// A target is slower than the caller's deadline: the caller gets a timeout at its deadline,
-/// with an unknown outcome, since the request may have run.
+/// A request that may still run at the caller's deadline must not be reported as not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_expired_deadline_is_reported_with_an_unknown_outcome() {
     let mesh = Mesh::start(&["a", "b"]).await;
@@ -401,8 +399,7 @@
     assert_eq!(mesh[0].target.executions().len(), 1);
 }
 
-/// A workspace exceeds its rate: it is refused with a retry delay, so that callers do not
-/// retry immediately.
+/// Without a retry delay, refused callers would retry immediately.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_workspace_over_its_rate_gets_a_retry_delay() {
     let mesh = Mesh::start(&["a"]).await;
--- a/tests/listener_close.rs
+++ b/tests/listener_close.rs
@@ -88,11 +88,11 @@
     for stream in &streams {
         assert_eq!(stream.try_write(REQUEST).unwrap(), REQUEST.len());
     }
-    let mut answered_count = 0;
+    let mut ok_count = 0;
     for stream in &mut streams {
-        answered_count += usize::from(reads_ok_response(stream).await);
+        ok_count += usize::from(reads_ok_response(stream).await);
     }
-    assert_eq!(answered_count, CONNECTION_COUNT);
+    assert_eq!(ok_count, CONNECTION_COUNT);
     drop(streams);
     fixture.task.await.unwrap();
 }
@@ -114,11 +114,11 @@
         stream.set_nonblocking(true).unwrap();
         streams.push(TcpStream::from_std(stream).unwrap());
     }
-    let mut answered_count = 0;
+    let mut ok_count = 0;
     for stream in &mut streams {
-        answered_count += usize::from(reads_ok_response(stream).await);
+        ok_count += usize::from(reads_ok_response(stream).await);
     }
-    assert_eq!(answered_count, CONNECTION_COUNT);
+    assert_eq!(ok_count, CONNECTION_COUNT);
     drop((stream, streams));
     fixture.task.await.unwrap();
 }
