--- a/src/keys/digest.rs
+++ b/src/keys/digest.rs
@@ -8,7 +8,7 @@
     std::{fmt, str::FromStr},
 };
 
-/// Start of every key that `dogwoodctl` makes.
+/// Prefix of every key that `dogwoodctl` creates.
 pub const KEY_PREFIX: &str = "dwk_";
 
 const KEY_BYTES: usize = 32;
@@ -16,18 +16,18 @@
 
 /// SHA-256 of a tenant key. Keys themselves are never stored.
 ///
-/// Keys hold 256 random bits, so a plain digest can't be reversed by guessing,
-/// and a look-up by digest tells nothing about the key by its timing.
+/// Keys hold 256 random bits, so a plain digest can't be reversed by guessing, and
+/// the timing of a lookup by digest reveals nothing about the key.
 #[derives::key]
 pub struct KeyDigest(pub [u8; DIGEST_BYTES]);
 
-/// A text that is not a digest.
+/// Error for text that is not a digest.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("a digest is 64 hexadecimal digits")]
+#[error("invalid key digest: expected 64 hexadecimal digits")]
 pub struct DigestError;
 
 impl KeyDigest {
-    /// Stands for requests that carry no key; no key has this digest.
+    /// Placeholder for requests without a key; no key has this digest.
     pub const NONE: Self = Self([0; DIGEST_BYTES]);
 
     /// Digest of a presented key.
@@ -77,16 +77,16 @@
     }
 }
 
-/// Makes a new key from the operating system's random numbers.
+/// Creates a key from the operating system's random number generator.
 ///
 /// # Panics
-/// When the operating system gives no random numbers; a guessable key would
-/// be worse.
+/// If the operating system provides no random numbers: a guessable key would be
+/// worse.
 #[must_use]
 pub fn new_key() -> String {
     let mut bytes = [0; KEY_BYTES];
     OsRng
         .try_fill_bytes(&mut bytes)
-        .expect("the operating system gives random numbers");
+        .expect("the operating system provides random numbers");
     format!("{KEY_PREFIX}{}", URL_SAFE_NO_PAD.encode(bytes))
 }
--- a/src/keys/exchange.rs
+++ b/src/keys/exchange.rs
@@ -1,4 +1,4 @@
-//! Carries revocations between this node's set and gossip.
+//! Exchanges revocations between this node's set and gossip.
 
 use {
     super::{KeyDigest, Revocations},
@@ -9,25 +9,25 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// Starts passing revocations on until `shutdown`: those learnt here to
-/// gossip, which knows its own news and spreads nothing twice, and those that
-/// gossip brings into the set.
+/// Starts a task that exchanges revocations until `shutdown`: it sends those newly
+/// added here to gossip, which recognizes those that it delivered itself and spreads
+/// each only once, and adds those received from gossip to the set.
 pub fn spawn_revocation_exchange(
     revocations: Revocations,
     to_gossip: mpsc::Sender<Vec<KeyDigest>>,
     mut from_gossip: broadcast::Receiver<Vec<KeyDigest>>,
     shutdown: CancellationToken,
 ) {
-    let mut learnt = revocations.subscribe_new();
+    let mut added = revocations.subscribe_new();
     tokio::spawn(async move {
         loop {
             tokio::select! {
                 () = shutdown.cancelled() => break,
-                digest = learnt.recv() => {
+                digest = added.recv() => {
                     let digests = match digest {
                         Ok(digest) => vec![digest],
-                        // Some were missed; a missed one would stay on this
-                        // node alone, so that all are told again.
+                        // Some were missed, and a missed one would stay on this
+                        // node alone: send all pending ones again.
                         Err(RecvError::Lagged(_)) => revocations.pending().iter().copied().collect(),
                         Err(RecvError::Closed) => break,
                     };
--- a/src/keys/mod.rs
+++ b/src/keys/mod.rs
@@ -1,4 +1,4 @@
-//! Tenant keys: digests, their states, the document that holds them.
+//! Tenant keys: digests, states, and the document that stores them.
 
 mod digest;
 mod exchange;
@@ -14,13 +14,13 @@
 
 use crate::model::WorkspaceKey;
 
-/// What a presented key is worth.
+/// State of a key that a request presents.
 #[derives::key]
 pub enum KeyState {
-    /// It stands for this workspace.
+    /// The key is granted to this workspace.
     Granted(WorkspaceKey),
-    /// It was revoked.
+    /// The key was revoked.
     Revoked,
-    /// It was never granted.
+    /// The key was never granted.
     Unknown,
 }
--- a/src/keys/record.rs
+++ b/src/keys/record.rs
@@ -1,21 +1,21 @@
-//! The keys document as it stands in the platform.
+//! The keys document as stored in the platform.
 
 use super::KeyDigest;
 
-/// A keys document that cannot be read or changed as asked.
+/// Error of reading or changing a keys document.
 #[derive(Debug, thiserror::Error)]
 pub enum KeysError {
-    /// It is not a keys document.
-    #[error("not a keys document: {0}")]
+    /// The content is not a keys document.
+    #[error("invalid keys document: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The key stands for another workspace.
-    #[error("the key is granted to workspace {workspace:?} already")]
+    /// The key is granted to another workspace.
+    #[error("the key is already granted to workspace {workspace:?}")]
     GrantedElsewhere {
-        /// That workspace.
+        /// Workspace that holds the key.
         workspace: String,
     },
     /// The key was revoked, which cannot be undone.
-    #[error("the key was revoked, which cannot be undone: create a new one")]
+    #[error("the key was revoked, which cannot be undone: create a new key")]
     Revoked,
 }
 
@@ -25,9 +25,9 @@
 pub struct GrantRecord {
     /// Digest of the key.
     pub digest: KeyDigest,
-    /// Workspace that it stands for.
+    /// Workspace that the key is granted to.
     pub workspace: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the grant, in milliseconds since the Unix epoch.
     pub granted_unix_ms: u64,
 }
 
@@ -37,7 +37,7 @@
 pub struct RevocationRecord {
     /// Digest of the key.
     pub digest: KeyDigest,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the revocation, in milliseconds since the Unix epoch.
     pub revoked_unix_ms: u64,
 }
 
@@ -45,14 +45,14 @@
 #[derives::record]
 #[derive(Eq, Default)]
 pub struct KeysRecord {
-    /// Granted keys; a revocation outweighs the grant.
+    /// Granted keys; a revocation overrides a grant.
     pub granted: Vec<GrantRecord>,
-    /// Revoked keys; only grows.
+    /// Revoked keys; never removed.
     pub revoked: Vec<RevocationRecord>,
 }
 
 impl KeysRecord {
-    /// Reads a document; an empty one holds no keys.
+    /// Parses the content of a document; empty content means no keys.
     pub fn read(content: &[u8]) -> Result<Self, KeysError> {
         if content.is_empty() {
             return Ok(Self::default());
@@ -60,13 +60,13 @@
         Ok(serde_json::from_slice(content)?)
     }
 
-    /// Content of the document.
+    /// Serializes the content of the document.
     ///
     /// # Panics
-    /// Never: the record has no map keys that JSON can't hold.
+    /// Never: the record has no map keys that JSON can't represent.
     #[must_use]
     pub fn write(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("the record is plain data")
+        serde_json::to_vec(self).expect("the record serializes to JSON")
     }
 
     /// Whether the key was revoked.
@@ -77,7 +77,7 @@
             .any(|revocation| revocation.digest == *digest)
     }
 
-    /// Grants a key; false when it was granted already.
+    /// Grants a key; returns false if it was already granted to the workspace.
     pub fn grant(
         &mut self,
         digest: KeyDigest,
@@ -102,8 +102,8 @@
         Ok(true)
     }
 
-    /// Revokes a key, also one that was never granted; false when it was
-    /// revoked already. The grant goes, the revocation stays.
+    /// Revokes a key, also one that was never granted, and removes its grant.
+    /// Returns false if it was already revoked. Revocations are permanent.
     pub fn revoke(&mut self, digest: KeyDigest, revoked_unix_ms: u64) -> bool {
         self.granted.retain(|grant| grant.digest != digest);
         if self.is_revoked(&digest) {
--- a/src/keys/revocations.rs
+++ b/src/keys/revocations.rs
@@ -1,4 +1,4 @@
-//! Revocations that nodes were told directly.
+//! Revocations received directly, ahead of the keys document.
 
 use {
     super::KeyDigest,
@@ -6,16 +6,16 @@
     tokio::sync::{broadcast, watch},
 };
 
-/// Capacity of the channel of newly learnt revocations. A reader that falls
-/// behind re-reads [`Revocations::pending`].
-const LEARNT_CAPACITY: usize = 256;
+/// Capacity of the channel of newly added revocations. A receiver that lags
+/// re-reads [`Revocations::pending`].
+const ADDED_CAPACITY: usize = 256;
 
-/// Revocations told by operators or by other nodes that the keys document
-/// lacks so far. Clones share one set.
+/// Revocations received from operators or other nodes that are not yet in the keys
+/// document. Clones share one set.
 #[derive(Debug, Clone)]
 pub struct Revocations {
     pending: Arc<watch::Sender<Arc<HashSet<KeyDigest>>>>,
-    learnt: broadcast::Sender<KeyDigest>,
+    added: broadcast::Sender<KeyDigest>,
 }
 
 impl Default for Revocations {
@@ -29,14 +29,14 @@
     #[must_use]
     pub fn new() -> Self {
         let (pending, _) = watch::channel(Arc::default());
-        let (learnt, _) = broadcast::channel(LEARNT_CAPACITY);
+        let (added, _) = broadcast::channel(ADDED_CAPACITY);
         Self {
             pending: Arc::new(pending),
-            learnt,
+            added,
         }
     }
 
-    /// Revokes a key on this node; false when it was told before.
+    /// Revokes a key on this node; returns false if the revocation is already pending.
     pub fn apply(&self, digest: KeyDigest) -> bool {
         let is_new = self.pending.send_if_modified(|pending| {
             if pending.contains(&digest) {
@@ -45,13 +45,14 @@
             Arc::make_mut(pending).insert(digest)
         });
         if is_new {
-            // Nobody may be listening; the set itself keeps the digest.
-            let _ = self.learnt.send(digest);
+            // There may be no receiver; the set itself keeps the digest.
+            let _ = self.added.send(digest);
         }
         is_new
     }
 
-    /// Drops what the keys document has by now; other nodes get it from there.
+    /// Removes revocations that the keys document now contains; other nodes get
+    /// them from the document.
     pub fn confirm(&self, in_document: &HashSet<KeyDigest>) {
         self.pending.send_if_modified(|pending| {
             let before_count = pending.len();
@@ -62,21 +63,21 @@
         });
     }
 
-    /// Revocations that the keys document lacks, to be told to other nodes.
+    /// Revocations not yet in the keys document, to be sent to other nodes.
     #[must_use]
     pub fn pending(&self) -> Arc<HashSet<KeyDigest>> {
         self.pending.borrow().clone()
     }
 
-    /// Follows the whole set.
+    /// Subscribes to the set of pending revocations.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<HashSet<KeyDigest>>> {
         self.pending.subscribe()
     }
 
-    /// Follows single revocations as they are learnt.
+    /// Subscribes to single revocations as they are added.
     #[must_use]
     pub fn subscribe_new(&self) -> broadcast::Receiver<KeyDigest> {
-        self.learnt.subscribe()
+        self.added.subscribe()
     }
 }
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Tenant keys: digests, the keys document, revocations told directly.
+//! Tenant keys: digests, the keys document, revocations received directly.
 
 use {
     dogwoodbridge::keys::{
@@ -11,11 +11,13 @@
 };
 
 #[test]
-fn keys_are_long_random_and_fit_a_header() {
+fn keys_are_long_random_and_valid_in_headers() {
     let keys: HashSet<String> = (0..100).map(|_| new_key()).collect();
     assert_eq!(keys.len(), 100);
     for key in keys {
-        let random = key.strip_prefix(KEY_PREFIX).expect("the prefix");
+        let random = key
+            .strip_prefix(KEY_PREFIX)
+            .expect("the key has the prefix");
         assert_eq!(random.len(), 43, "256 bits in base64");
         assert!(
             key.chars()
@@ -24,14 +26,14 @@
     }
 }
 
-/// A text and whether it is a digest.
+/// A text, and whether it is a valid digest.
 struct DigestText {
     text: String,
     valid: bool,
 }
 
 #[test]
-fn reads_digests() {
+fn parses_digests() {
     let digest = KeyDigest::of_key("abc");
     let hex = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
     assert_eq!(digest.to_string(), hex);
@@ -80,7 +82,7 @@
 }
 
 #[test]
-fn any_text_is_read_without_panic() {
+fn any_text_is_parsed_without_panic() {
     bolero::check!().with_type::<String>().for_each(|text| {
         if let Ok(digest) = text.parse::<KeyDigest>() {
             assert_eq!(digest.to_string(), text.to_lowercase());
@@ -89,7 +91,7 @@
 }
 
 #[test]
-fn any_document_is_read_without_panic() {
+fn any_document_is_parsed_without_panic() {
     bolero::check!().for_each(|bytes: &[u8]| {
         let _ = KeysRecord::read(bytes);
     });
@@ -100,21 +102,24 @@
     let digest = KeyDigest::of_key("k1");
     let mut record = KeysRecord::default();
     assert!(record.grant(digest, "shop", 1).expect("a new key"));
-    assert!(!record.grant(digest, "shop", 2).expect("granted already"));
-    let elsewhere = record.grant(digest, "other", 2);
-    assert!(matches!(elsewhere, Err(KeysError::GrantedElsewhere { .. })));
+    assert!(!record.grant(digest, "shop", 2).expect("already granted"));
+    let other_workspace = record.grant(digest, "other", 2);
+    assert!(matches!(
+        other_workspace,
+        Err(KeysError::GrantedElsewhere { .. })
+    ));
     assert!(record.revoke(digest, 3));
     assert!(!record.revoke(digest, 4));
     assert!(matches!(
         record.grant(digest, "shop", 5),
         Err(KeysError::Revoked)
     ));
-    let read = KeysRecord::read(&record.write()).expect("reads what it wrote");
+    let read = KeysRecord::read(&record.write()).expect("parses what it wrote");
     assert_eq!(read, record);
 }
 
 #[test]
-fn the_document_holds_no_key() {
+fn the_document_contains_no_key() {
     let key = new_key();
     let mut record = KeysRecord::default();
     record
@@ -125,14 +130,14 @@
 }
 
 #[tokio::test]
-async fn revocations_are_told_once_and_kept_until_the_document_has_them() {
+async fn revocations_are_sent_once_and_kept_until_the_document_has_them() {
     let revocations = Revocations::new();
-    let mut learnt = revocations.subscribe_new();
+    let mut added = revocations.subscribe_new();
     let digest = KeyDigest::of_key("k1");
     assert!(revocations.apply(digest));
     assert!(!revocations.apply(digest));
-    assert_eq!(learnt.recv().await.expect("told"), digest);
-    assert!(learnt.try_recv().is_err());
+    assert_eq!(added.recv().await.expect("sent"), digest);
+    assert!(added.try_recv().is_err());
     revocations.confirm(&HashSet::from([KeyDigest::of_key("k2")]));
     assert!(revocations.pending().contains(&digest));
     revocations.confirm(&HashSet::from([digest]));
@@ -140,9 +145,9 @@
 }
 
 #[tokio::test]
-async fn revocations_pass_between_the_set_and_gossip() {
+async fn revocations_are_exchanged_between_the_set_and_gossip() {
     let revocations = Revocations::new();
-    let (to_gossip, mut told) = mpsc::channel(8);
+    let (to_gossip, mut sent) = mpsc::channel(8);
     let (gossip, from_gossip) = broadcast::channel(8);
     let shutdown = CancellationToken::new();
     spawn_revocation_exchange(
@@ -151,14 +156,16 @@
         from_gossip,
         shutdown.clone(),
     );
-    let (own, others) = (KeyDigest::of_key("k1"), KeyDigest::of_key("k2"));
-    revocations.apply(own);
-    assert_eq!(told.recv().await.expect("told"), [own]);
+    let (local, received) = (KeyDigest::of_key("k1"), KeyDigest::of_key("k2"));
+    revocations.apply(local);
+    assert_eq!(sent.recv().await.expect("sent"), [local]);
     let mut pending = revocations.subscribe();
-    gossip.send(vec![own, others]).expect("the task listens");
+    gossip
+        .send(vec![local, received])
+        .expect("the task receives");
     pending
-        .wait_for(|pending| pending.contains(&others))
+        .wait_for(|pending| pending.contains(&received))
         .await
-        .expect("the set lives");
+        .expect("the set exists");
     shutdown.cancel();
 }
--- a/tests/regions.rs
+++ b/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Requests that may only run in named regions, at the node beside the target.
+//! Requests restricted to named regions, enforced by the target's node.
 
 mod local_mesh;
 
@@ -44,9 +44,10 @@
     regions.iter().map(|region| (*region).to_owned()).collect()
 }
 
-/// Where a route and a workspace both name regions, both bind.
+/// A route and a workspace may both restrict regions; a request may run only in regions
+/// that both allow.
 #[test]
-fn regions_of_the_route_and_of_the_workspace_both_bind() {
+fn route_and_workspace_regions_both_apply() {
     struct Case {
         workspace: &'static str,
         path: &'static str,
@@ -59,7 +60,7 @@
             routes: vec![route("/any/", &[]), route("/east/", &["east", "north"])],
             services: Vec::new(),
             workspaces: vec![
-                workspace("free", &[]),
+                workspace("unrestricted", &[]),
                 workspace("eastern", &["east"]),
                 workspace("western", &["west"]),
             ],
@@ -69,12 +70,12 @@
     const REGIONS: [&str; 3] = ["east", "north", "west"];
     let cases = [
         Case {
-            workspace: "free",
+            workspace: "unrestricted",
             path: "/any/x",
             allowed: &REGIONS,
         },
         Case {
-            workspace: "free",
+            workspace: "unrestricted",
             path: "/east/x",
             allowed: &["east", "north"],
         },
@@ -105,23 +106,22 @@
     }
 }
 
-/// The sender holds an older configuration and sends a request to a region in
-/// which it may not run any more. The node beside the target refuses it as not
-/// run.
+/// The sender has an older configuration and sends a request to a region where it may no
+/// longer run. The target's node refuses it as not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_targets_node_refuses_what_may_not_run_in_its_region() {
+async fn the_targets_node_refuses_requests_not_allowed_in_its_region() {
     let mesh = Mesh::start(&["b", "a"]).await;
-    let beside = &mesh.instances[1];
-    let mut running = Running::clone(&beside.node.running());
-    let elsewhere = RegionSet::only([beside.node.names.region("elsewhere")]);
+    let target_instance = &mesh.instances[1];
+    let mut running = Running::clone(&target_instance.node.running());
+    let other_region = RegionSet::only([target_instance.node.names.region("other")]);
     for rules in running.workspaces.values_mut() {
-        rules.regions = elsewhere;
+        rules.regions = other_region;
     }
     running.restricts_regions = true;
-    beside.running.send_replace(Arc::new(running));
+    target_instance.running.send_replace(Arc::new(running));
     let headers = [("dogwood-key", KEY)];
     let request = client::request("GET", "/a/echo", &headers, b"");
-    let seen = client::send(mesh.instances[0].caller_address(), request).await;
-    assert_eq!(seen.summary(), (503, "not-run", "outside-regions"));
-    assert!(beside.target.executions().is_empty());
+    let response = client::send(mesh.instances[0].caller_address(), request).await;
+    assert_eq!(response.summary(), (503, "not-run", "outside-regions"));
+    assert!(target_instance.target.executions().is_empty());
 }
