--- a/src/objects/follower.rs
+++ b/src/objects/follower.rs
@@ -68,7 +68,7 @@
         documents,
         last_confirmed_ms: followed.seen,
         is_origin_failing: followed.is_origin_failing,
-        confirmed_ms: parts.confirmed_ms,
+        confirmation_ttl_ms: parts.confirmed_ms,
         applied_version: 0,
         apply,
         own_state: parts.own_state,
@@ -88,7 +88,7 @@
     documents: DocumentStore,
     last_confirmed_ms: watch::Receiver<Option<u64>>,
     is_origin_failing: watch::Receiver<bool>,
-    confirmed_ms: u64,
+    confirmation_ttl_ms: u64,
     applied_version: u64,
     apply: A,
     own_state: watch::Sender<OwnState>,
@@ -137,7 +137,7 @@
             *own != before
         });
         if let Some(confirmed_at_ms) = confirmed_at_ms {
-            let until_ms = confirmed_at_ms + self.confirmed_ms;
+            let until_ms = confirmed_at_ms + self.confirmation_ttl_ms;
             self.freshness.send_replace(Snapshot {
                 freshness: Freshness::Fresh,
                 valid_until_ms: until_ms,
--- a/tests/platform_support/ctl.rs
+++ b/tests/platform_support/ctl.rs
@@ -27,13 +27,13 @@
         .join(name)
 }
 
-pub struct Ran {
+pub struct CommandResult {
     pub code: i32,
     pub output: String,
     pub errors: String,
 }
 
-pub async fn ctl(arguments: &[&str]) -> Ran {
+pub async fn ctl(arguments: &[&str]) -> CommandResult {
     let output: Output = Command::new(env!("CARGO_BIN_EXE_dogwoodctl"))
         .args(arguments)
         .env_remove("DOGWOOD_NODES")
@@ -42,14 +42,14 @@
         .output()
         .await
         .expect("dogwoodctl starts");
-    Ran {
+    CommandResult {
         code: output.status.code().expect("it exits without a signal"),
         output: String::from_utf8(output.stdout).expect("UTF-8"),
         errors: String::from_utf8(output.stderr).expect("UTF-8"),
     }
 }
 
-pub async fn publish(fake: &FakePlatform, extra_arguments: &[&str]) -> Ran {
+pub async fn publish(fake: &FakePlatform, extra_arguments: &[&str]) -> CommandResult {
     let (dir, platform) = (example("cascade-tally"), fake.address.to_string());
     let dir = dir.to_str().expect("UTF-8");
     let mut arguments = vec![
