--- a/src/documents/follower.rs
+++ b/src/documents/follower.rs
@@ -1,9 +1,8 @@
 //! Keeps this node's documents up to date, from the origin or from other members.
 //!
-//! Two relays in each availability zone watch the documents' origin and poll it
-//! for confirmed versions. The other members receive higher versions through
-//! gossip, as hints and in replies to their own probes, and fetch the documents
-//! from the member that holds them.
+//! Two relays per availability zone watch and poll the origin. The other members
+//! receive newer versions from gossip, as hints and in replies to their probes, and
+//! fetch them from the member that holds them.
 
 use {
     super::{
@@ -30,15 +29,13 @@
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_000);
 const FETCH_ATTEMPTS: usize = 4;
 /// Delay before fetching from another availability zone, so that a member of the
-/// local zone can provide the document first: traffic between zones is slower
-/// and billed.
+/// local zone can provide it first: traffic between zones is slower and billed.
 const OTHER_ZONE_DELAY: Duration = Duration::from_millis(150);
 const NOT_READY_REPORT_INTERVAL_MS: u64 = 3_000;
 
 /// Client for calls to other members.
 pub trait Peers: Clone + Send + Sync + 'static {
-    /// Fetches a document above this version from a member; `None` if the member
-    /// has none or the call fails.
+    /// Fetches a document above this version from a member; `None` if unavailable.
     fn fetch(
         &self,
         node_id: &str,
@@ -51,25 +48,25 @@
 #[derives::value]
 #[derive(Eq)]
 pub struct Hint {
-    /// The member's node ID.
+    /// The member.
     pub node_id: String,
     /// Versions that it holds.
     pub versions: Versions,
 }
 
-/// Configuration, channels and clients of the follower.
+/// Inputs of [`spawn_follower`].
 pub struct FollowerParts<O, N> {
-    /// ID of this node.
+    /// This node.
     pub node_id: String,
     /// Its availability zone.
     pub zone: String,
     /// Receives the documents.
     pub store: DocumentStore,
-    /// The origin, where operators write the documents.
+    /// The documents' origin.
     pub origin: O,
     /// When to poll the origin.
     pub bounds: PollBounds,
-    /// Client for calls to other members.
+    /// Calls to other members.
     pub neighbours: N,
     /// Current membership.
     pub view: watch::Receiver<Arc<View>>,
@@ -112,7 +109,7 @@
             .count()
     }
 
-    /// Whether at least one relay of the zone has not reported failing origin calls.
+    /// Whether a relay of the zone reaches the origin, as far as known.
     pub(super) fn has_connected_relay(&self) -> bool {
         let view = self.view.borrow();
         let relays = relays(&view, &self.zone);
@@ -131,8 +128,7 @@
         Backoff::new(self.bounds.first_backoff_ms, self.bounds.longest_backoff_ms)
     }
 
-    /// Records a failed call to the origin. An error response of an origin that
-    /// serves this node does not count as a failure.
+    /// Records a failed call, unless the origin responded and serves this node.
     pub(super) fn record_failure(&self, error: &O::Error)
     where
         O: DocumentOrigin,
@@ -142,11 +138,10 @@
         }
     }
 
-    /// Records a confirmed poll if this node holds all versions that the poll
-    /// returned.
-    // A confirmed poll proves that these were the newest versions at `polled_ms`.
-    // A node that holds older ones and recorded only the time would report itself
-    // as fresh while it misses a revocation that the poll returned.
+    /// Records a confirmed poll if this node holds all versions that it returned.
+    // The poll proves that these were the newest versions at that time. A node that
+    // holds older ones and recorded the time alone would report itself as fresh
+    // while it misses a revocation that the poll returned.
     pub(super) fn confirm(&self, versions: Versions, polled_ms: u64) {
         let held = self.store.versions();
         let holds_all = DocumentKind::ALL
@@ -173,15 +168,14 @@
 
 /// State that the follower publishes.
 pub struct FollowerOutputs {
-    /// Time of the last confirmed poll of the origin on the timer's clock, in
-    /// milliseconds. The poll was made by this node or by a member whose versions
-    /// this node holds.
+    /// Time of the last confirmed poll on the timer's clock, in milliseconds, made by
+    /// this node or by a member whose versions it holds.
     pub seen: watch::Receiver<Option<u64>>,
-    /// Whether this node's calls to the origin are failing.
+    /// Whether this node's calls to the origin fail.
     pub is_origin_failing: watch::Receiver<bool>,
 }
 
-/// Starts the follower's tasks, which run until `shutdown`.
+/// Starts the follower.
 pub fn spawn_follower<O: DocumentOrigin, N: Peers>(parts: FollowerParts<O, N>) -> FollowerOutputs {
     let (last_confirmed_ms, last_confirmed_receiver) = watch::channel(None);
     let reachability = Arc::new(OriginReachability::new());
@@ -220,9 +214,9 @@
     followed
 }
 
-// A node that knows no other member yet considers itself its zone's first relay.
-// If a whole fleet starts at once, every node would call the platform at the same
-// time. The delay lets most nodes discover each other first.
+// A node that knows no other member yet considers itself its zone's first relay. In a
+// fleet that starts at once, every node would call the platform at the same time; by
+// the end of the delay most have discovered each other.
 async fn after_start_delay(delay_ms: u64, task: impl Future<Output = ()>) {
     let delay_ms = rand::rng().random_range(delay_ms / 2..=delay_ms);
     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
--- a/src/documents/mod.rs
+++ b/src/documents/mod.rs
@@ -1,4 +1,4 @@
-//! Versioned documents that this node holds, and how it keeps them up to date.
+//! Versioned documents of the platform that this node holds.
 
 mod follower;
 mod origin;
@@ -28,7 +28,7 @@
     Keys = 1,
     /// Owners of the slices of quota and idempotency keys.
     Slices = 2,
-    /// Evacuated availability zones, which receive no requests.
+    /// Evacuated availability zones.
     Evacuations = 3,
 }
 
@@ -100,14 +100,13 @@
     Written(u64),
     /// The write had no effect; the document has this version instead.
     Conflict(u64),
-    /// No response arrived: the write may or may not have taken effect.
+    /// No response: the write may or may not have taken effect.
     Unknown,
 }
 
-/// Writes documents if their version has not changed in the meantime.
+/// Writes documents whose version has not changed in the meantime.
 pub trait DocumentWriter: Clone + Send + Sync + 'static {
-    /// Replaces a document that has version `if_version`; 0 means that it must
-    /// not exist yet.
+    /// Replaces a document that has version `if_version`; 0 if it must not exist.
     fn write(
         &self,
         kind: DocumentKind,
--- a/src/documents/origin.rs
+++ b/src/documents/origin.rs
@@ -13,10 +13,8 @@
     /// Kinds of documents that the origin stores.
     const KINDS: &'static [DocumentKind];
 
-    /// Adds newer documents to `store` and returns the newest versions of all
-    /// kinds.
-    ///
-    /// The versions were current at some time between call and response.
+    /// Adds newer documents to `store` and returns the newest versions of all kinds,
+    /// as of some time during the call.
     fn poll(
         &self,
         store: &DocumentStore,
@@ -30,7 +28,7 @@
         held_version: u64,
     ) -> impl Future<Output = Result<Option<Document>, Self::Error>> + Send;
 
-    /// Whether the error is a response: the origin is reachable and serves this node.
+    /// Whether the error is a response of an origin that serves this node.
     fn is_response(_error: &Self::Error) -> bool {
         false
     }
--- a/src/documents/poll.rs
+++ b/src/documents/poll.rs
@@ -1,5 +1,5 @@
-//! A member's own calls to the documents' origin: long-poll watches, and polls
-//! that confirm the versions of all documents.
+//! A member's own calls to the documents' origin: watches, and polls that confirm
+//! versions.
 
 use {
     super::{DocumentKind, DocumentOrigin, PollRole, follower::Shared},
@@ -11,16 +11,15 @@
     std::time::Duration,
 };
 
-/// Pause after a watch that returned a version already held. An origin that
-/// responds immediately from a stale copy would be called in a tight loop.
+/// Pause after a watch that returned nothing newer, so that an origin that responds
+/// at once from a stale copy is not called in a tight loop.
 const STALE_WATCH_PAUSE: Duration = Duration::from_millis(200);
 
 /// Polls the origin to confirm the versions of all documents.
 ///
-/// The first relay of a zone polls. The second relay polls when it has received no
-/// confirmed poll of the first one for a while, and the other members when they
-/// have received none of either. So the number of calls grows with the number of
-/// zones, not of nodes.
+/// The first relay of a zone polls. The second one polls when it has received no
+/// confirmed poll for a while, and the other members after a longer while. So calls
+/// grow with the number of zones, not of nodes.
 pub(super) struct PollTask<O> {
     shared: Shared<O>,
     probes: MemberProbes,
@@ -79,8 +78,8 @@
         Ok(())
     }
 
-    // Gossip normally delivers a relay's last confirmed poll within a second or two,
-    // unless datagrams are lost or the zone is large.
+    // Gossip delivers a relay's confirmed polls within a second or two, unless
+    // datagrams are lost or the zone is large.
     fn query_relays(&self) {
         let Some(limit_ms) = self.shared.bounds.query_relays_age_ms else {
             return;
@@ -97,14 +96,13 @@
     }
 }
 
-/// Time after startup in which nodes discover each other. A node that knows no
-/// other member considers itself its zone's first relay, so every node of a fleet
-/// that starts at once would open a watch.
+/// Time for nodes to discover each other after startup. A node that knows no other
+/// member considers itself its zone's first relay, so every node of a fleet that
+/// starts at once would watch.
 const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(1_000);
 
-/// Whether a member of this rank watches documents of this kind. Only the first
-/// relay watches evacuations: they are rare, and a change that it misses is found
-/// by its polls and by those of other zones.
+/// Whether a member of this rank watches documents of this kind. Evacuations are
+/// rare: one relay watches, and its polls and those of other zones find what it misses.
 const fn should_watch(kind: DocumentKind, rank: Option<usize>) -> bool {
     match (kind, rank) {
         (DocumentKind::Evacuations, rank) => matches!(rank, Some(0)),
--- a/src/documents/reachability.rs
+++ b/src/documents/reachability.rs
@@ -1,9 +1,8 @@
 //! Tracks which members of the availability zone can reach the documents' origin.
 //!
 //! The origin may fail both relays of a zone while it serves other members. These
-//! would wait for the relays until the last confirmed poll is too old, and use
-//! replaced documents meanwhile. So a node reports when its calls fail, and the
-//! other members poll the origin themselves once no relay reaches it.
+//! would use replaced documents until the last confirmed poll is too old. So nodes
+//! report when their calls fail, and others poll once no relay reaches the origin.
 
 use {
     std::{
@@ -16,8 +15,8 @@
     tokio::sync::watch,
 };
 
-/// Consecutive failed calls before the origin counts as failing, since a single
-/// response may be lost.
+/// Consecutive failures before the origin counts as failing: a single response may
+/// be lost.
 const FAILED_CALL_COUNT: u32 = 2;
 
 /// Reachability of the origin, from this node and from other members.
--- a/src/documents/schedule.rs
+++ b/src/documents/schedule.rs
@@ -2,8 +2,7 @@
 
 /// Times that divide the polls among the members of an availability zone.
 ///
-/// An age is the time since the newest confirmed poll known to the member, made by
-/// itself or received from another member.
+/// Ages are those of the newest confirmed poll, made locally or received.
 #[derives::value]
 #[derive(Copy)]
 pub struct PollBounds {
@@ -15,13 +14,13 @@
     pub first_relay_age_ms: u64,
     /// Age at which the second relay polls, in milliseconds.
     pub second_relay_age_ms: u64,
-    /// Age at which members query the relays for their state, in milliseconds.
+    /// Age at which members query the relays, in milliseconds.
     pub query_relays_age_ms: Option<u64>,
     /// When members that are not relays poll; `None` for never.
     pub peer_polls: Option<PeerPolls>,
     /// Delay after the first failed call, in milliseconds.
     pub first_backoff_ms: u64,
-    /// Longest delay after consecutive failed calls, in milliseconds.
+    /// Longest delay after failed calls, in milliseconds.
     pub longest_backoff_ms: u64,
 }
 
@@ -35,10 +34,9 @@
     pub age_ms: u64,
     /// Polls of all of them together, per second.
     pub rate_per_s: f64,
-    /// Age from which they poll while no relay reaches the origin, in
-    /// milliseconds.
+    /// Age from which they poll while no relay reaches the origin, in milliseconds.
     pub without_relay_age_ms: u64,
-    /// Polls of all of them together while no relay reaches the origin, per second.
+    /// Polls of all of them together in that case, per second.
     pub without_relay_rate_per_s: f64,
 }
 
@@ -55,8 +53,8 @@
 }
 
 impl PollBounds {
-    /// For an origin that bills each call, with confirmations that are valid for at
-    /// least four seconds.
+    /// For an origin that bills calls, and confirmations valid for at least four
+    /// seconds.
     pub const PAID: Self = Self {
         period_ms: 200,
         start_delay_ms: 0,
@@ -73,7 +71,7 @@
         longest_backoff_ms: 1600,
     };
 
-    /// Returns the same bounds with another delay before the first poll.
+    /// The same bounds with another delay before the first poll.
     #[must_use]
     pub const fn with_start_delay_ms(self, start_delay_ms: u64) -> Self {
         Self {
@@ -84,8 +82,8 @@
 
     /// Whether a member polls now.
     ///
-    /// `age_ms` is `None` while there is no confirmed poll. `draw` is a random
-    /// number in 0..1 that spreads polls among members that are not relays.
+    /// `age_ms` is `None` while there is no confirmed poll. `draw` is random in 0..1
+    /// and selects among members that are not relays.
     #[must_use]
     pub fn is_due(&self, role: PollRole, age_ms: Option<u64>, draw: f64) -> bool {
         let is_older_than = |limit_ms| age_ms.is_none_or(|age_ms| age_ms >= limit_ms);
--- a/src/keys/exchange.rs
+++ b/src/keys/exchange.rs
@@ -9,9 +9,9 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// Starts a task that exchanges revocations until `shutdown`: it sends those newly
-/// added here to gossip, which recognizes those that it delivered itself and spreads
-/// each only once, and adds those received from gossip to the set.
+/// Starts a task that, until `shutdown`, sends new revocations to gossip and adds
+/// those received from gossip to the set. Gossip recognizes its own updates and
+/// spreads each only once.
 pub fn spawn_revocation_exchange(
     revocations: Revocations,
     to_gossip: mpsc::Sender<Vec<KeyDigest>>,
@@ -26,8 +26,8 @@
                 digest = added.recv() => {
                     let digests = match digest {
                         Ok(digest) => vec![digest],
-                        // Some were missed, and a missed one would stay on this
-                        // node alone: send all pending ones again.
+                        // Some were missed and would stay on this node alone:
+                        // send all pending ones again.
                         Err(RecvError::Lagged(_)) => revocations.pending().iter().copied().collect(),
                         Err(RecvError::Closed) => break,
                     };
--- a/src/keys/record.rs
+++ b/src/keys/record.rs
@@ -77,7 +77,7 @@
             .any(|revocation| revocation.digest == *digest)
     }
 
-    /// Grants a key; returns false if it was already granted to the workspace.
+    /// Grants a key; returns false if already granted to the workspace.
     pub fn grant(
         &mut self,
         digest: KeyDigest,
@@ -102,8 +102,8 @@
         Ok(true)
     }
 
-    /// Revokes a key, also one that was never granted, and removes its grant.
-    /// Returns false if it was already revoked. Revocations are permanent.
+    /// Revokes a key permanently, also one never granted, and removes its grant;
+    /// returns false if already revoked.
     pub fn revoke(&mut self, digest: KeyDigest, revoked_unix_ms: u64) -> bool {
         self.granted.retain(|grant| grant.digest != digest);
         if self.is_revoked(&digest) {
--- a/src/keys/revocations.rs
+++ b/src/keys/revocations.rs
@@ -10,8 +10,8 @@
 /// re-reads [`Revocations::pending`].
 const ADDED_CAPACITY: usize = 256;
 
-/// Revocations received from operators or other nodes that are not yet in the keys
-/// document. Clones share one set.
+/// Revocations from operators or other nodes that are not yet in the keys document.
+/// Clones share one set.
 #[derive(Debug, Clone)]
 pub struct Revocations {
     pending: Arc<watch::Sender<Arc<HashSet<KeyDigest>>>>,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Revokes a key on this node; returns false if the revocation is already pending.
+    /// Revokes a key on this node; returns false if already pending.
     pub fn apply(&self, digest: KeyDigest) -> bool {
         let is_new = self.pending.send_if_modified(|pending| {
             if pending.contains(&digest) {
@@ -51,8 +51,7 @@
         is_new
     }
 
-    /// Removes revocations that the keys document now contains; other nodes get
-    /// them from the document.
+    /// Removes what the keys document now contains; other nodes get it from there.
     pub fn confirm(&self, in_document: &HashSet<KeyDigest>) {
         self.pending.send_if_modified(|pending| {
             let before_count = pending.len();
--- a/src/objects/follower.rs
+++ b/src/objects/follower.rs
@@ -1,5 +1,5 @@
-//! Follows the configuration object, applies each new version and publishes how
-//! long the applied version is known to be current.
+//! Follows the configuration object and publishes how long the applied version is
+//! known to be current.
 
 use {
     super::{ObjectOrigin, ObjectStore},
@@ -27,20 +27,18 @@
 pub struct FollowedNames {
     /// The configuration object.
     pub configuration: FollowedName,
-    /// Kind of the objects that are named after the evacuated availability zones.
+    /// Kind of the objects named after evacuated availability zones.
     pub evacuations_kind: String,
 }
 
 /// Inputs of [`follow`].
 pub struct FollowParts<S, N> {
-    /// Inputs of the document follower, which fetches the content.
+    /// Fetches the content.
     pub follower: FollowerParts<ObjectOrigin<S>, N>,
-    /// How long a confirmed poll is valid, in milliseconds from when the poll was
-    /// sent to the store.
+    /// How long a confirmed poll is valid after it was sent, in milliseconds.
     pub confirmed_ms: u64,
-    /// State that this node reports to other members. The follower updates the
-    /// versions, the time of the last confirmed poll and whether calls to the origin
-    /// are failing.
+    /// State reported to other members. The follower updates the versions, the time
+    /// of the last confirmed poll and whether calls to the origin fail.
     pub own_state: watch::Sender<OwnState>,
 }
 
@@ -52,8 +50,7 @@
 ///
 /// A watch that returns nothing confirms nothing: it misses changes while the store
 /// drops its history, and a removed key would remain accepted. Only a plain read
-/// confirms. Its validity starts when it was sent, since the response may have been
-/// delayed for a long time.
+/// confirms, from when it was sent, since its response may be delayed for long.
 pub fn follow<S, N, A>(parts: FollowParts<S, N>, apply: A) -> watch::Receiver<Snapshot>
 where
     S: ObjectStore,
--- a/src/objects/mod.rs
+++ b/src/objects/mod.rs
@@ -1,7 +1,7 @@
 //! Interface to the platform's object store, which holds all persistent state.
 //!
-//! An adapter implements [`ObjectStore`] for the API of a deployment. When to call,
-//! how often to retry and which responses confirm a version is decided here.
+//! An adapter implements [`ObjectStore`] for the API of a deployment; when to call,
+//! when to retry and which responses to trust is decided here.
 
 mod follower;
 mod origin;
@@ -45,7 +45,7 @@
 /// Changes after the requested revision.
 #[derives::value]
 pub struct Changes {
-    /// Changes in order; empty if the wait timed out.
+    /// In order; empty if the wait timed out.
     pub changes: Vec<Change>,
     /// Revision from which the next watch continues.
     pub as_of: u64,
@@ -57,15 +57,13 @@
     /// The connection could not be opened: the call was not executed.
     #[error("cannot connect to the store: {0}")]
     Unreachable(std::io::Error),
-    /// No response in time; a write may have been executed, or may be executed
-    /// later.
+    /// No response in time; a write may have been executed, or may be later.
     #[error("no response from the store within {limit_ms} ms")]
     TimedOut {
         /// Timeout of the call, in milliseconds.
         limit_ms: u64,
     },
-    /// The connection failed; a write may have been executed, or may be executed
-    /// later.
+    /// The connection failed; a write may have been executed, or may be later.
     #[error("connection to the store failed: {0}")]
     Broken(String),
     /// The store rejects calls temporarily: too many calls, or an outage.
@@ -77,7 +75,7 @@
     /// The store no longer has the history that the watch requires.
     #[error("the store no longer has the history since the requested revision")]
     HistoryGone,
-    /// The object has another revision than the write requires, or already exists.
+    /// The object has another revision than required, or already exists.
     #[error("the object has changed or already exists")]
     Conflict,
     /// The object does not exist.
--- a/src/objects/origin.rs
+++ b/src/objects/origin.rs
@@ -1,4 +1,4 @@
-//! Document origin on top of the object store. The configuration is one object; the
+//! Document origin in the object store: the configuration is one object, the
 //! evacuated availability zones are the names of all objects of one kind.
 
 use {
@@ -18,8 +18,8 @@
     },
 };
 
-/// Number of polls per listing of the evacuations. Their watch normally reports a
-/// change at once; the listing finds changes after the store has lost its history.
+/// Polls per listing of the evacuations. Their watch returns a change at once unless
+/// the store drops its history.
 const POLLS_PER_EVACUATION_LISTING: usize = 3;
 
 /// Reads the documents from their objects. Clones share the revisions from which
@@ -32,7 +32,7 @@
     documents: DocumentStore,
     watch_ms: u64,
     /// Revision from which the configuration watch continues; 0 while unknown. The
-    /// object's own revision may be older than the history that the store keeps.
+    /// object's own may be older than the history that the store keeps.
     configuration_as_of: Arc<AtomicU64>,
     /// Revision from which the evacuations watch continues; 0 while unknown.
     evacuations_as_of: Arc<AtomicU64>,
@@ -41,8 +41,8 @@
 }
 
 impl<S: ObjectStore> ObjectOrigin<S> {
-    /// Creates an origin for the objects in `followed`. A watch waits up to
-    /// `watch_ms`; evacuations are compared with the held ones in `documents`.
+    /// Creates an origin for these objects. A watch waits up to `watch_ms`;
+    /// `documents` holds the evacuations that are already known.
     pub fn new(store: S, followed: FollowedNames, documents: DocumentStore, watch_ms: u64) -> Self {
         Self {
             store,
@@ -71,7 +71,7 @@
         let changes = self.store.watch(kind, after, self.watch_ms).await;
         if let Err(StoreError::HistoryGone) = &changes {
             event!(Event::HistoryLost, "object={}", self.object_path());
-            // A concurrent poll may already have stored a newer revision: keep that one.
+            // A concurrent poll may already have stored a newer revision.
             let _ = self.configuration_as_of.compare_exchange(
                 after,
                 0,
@@ -82,9 +82,8 @@
         changes
     }
 
-    /// The evacuated zones as of the listing's revision; `None` if they are already
-    /// held. The same zones under another revision are not a new version: every node
-    /// would fetch them again after each poll by a relay.
+    /// The evacuated zones as of the listing's revision; `None` if already held. If
+    /// the same zones were a new version, every node would fetch them after each poll.
     async fn list_evacuations(&self) -> Result<Option<Document>, StoreError> {
         let Listing { objects, as_of } = self.store.list(&self.evacuations_kind).await?;
         self.evacuations_as_of.fetch_max(as_of, Ordering::Relaxed);
@@ -102,8 +101,8 @@
         }))
     }
 
-    /// Lists the evacuations on every [`POLLS_PER_EVACUATION_LISTING`]th poll. A
-    /// failure does not affect the poll of the configuration.
+    /// Lists the evacuations on some polls. A failure does not affect the poll of the
+    /// configuration.
     async fn poll_evacuations(&self) -> Option<Document> {
         let earlier_poll_count = self.poll_count.fetch_add(1, Ordering::Relaxed);
         if !(earlier_poll_count + 1).is_multiple_of(POLLS_PER_EVACUATION_LISTING) {
@@ -118,8 +117,7 @@
         }
     }
 
-    /// Waits for a change and lists all evacuations again: a removal has no revision
-    /// of its own.
+    /// Waits for a change, then lists again: a removal has no revision of its own.
     async fn watch_evacuations(&self) -> Result<Option<Document>, StoreError> {
         let after = self.evacuations_as_of.load(Ordering::Relaxed);
         if after == 0 {
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -31,8 +31,8 @@
 
 /// Timeout of a call that does not wait for a change.
 const CALL_TIMEOUT_MS: u64 = 2_000;
-/// Additional time that a watch may take beyond its wait. Long, since a platform
-/// that is slow for a long time still reports changes through watches.
+/// Time that a watch may take beyond its wait. Long, since a platform that is slow
+/// for long still reports changes through watches.
 const WATCH_GRACE_MS: u64 = 10_000;
 /// Attempts to read at least a version that the platform is known to have.
 const READ_ATTEMPTS: usize = 5;
@@ -44,7 +44,7 @@
 /// every server can parse it.
 const IMPOSSIBLE_VERSION: u64 = i64::MAX as u64;
 
-/// Number of calls sent so far. The platform counts the same calls.
+/// Calls made so far; the platform counts the same ones.
 #[derives::key]
 #[derive(Default)]
 pub struct CallCounts {
@@ -65,7 +65,7 @@
     traffic: Arc<Traffic>,
 }
 
-/// Client of the object API. Clones share counters and connection state.
+/// Client of the object API. Clones share counters and state.
 #[derive(Debug, Clone)]
 pub struct Platform {
     address: SocketAddr,
@@ -119,9 +119,9 @@
     }
 
     /// Reads an object that is known to have at least this version.
-    // A plain read may be older, and the next write would then be based on withdrawn
-    // rules. A watch above the preceding version returns at least the requested
-    // version, once the platform can serve it.
+    // A plain read may be older, and the next write would be based on withdrawn rules.
+    // A watch above the preceding version returns only the requested version or a
+    // newer one, if the platform can serve it.
     pub async fn read_at_least(&self, name: &str, version: u64) -> Result<Object, PlatformError> {
         let mut backoff = Backoff::new(FIRST_BACKOFF_MS, LONGEST_BACKOFF_MS);
         let mut failure = PlatformError::Stale { version };
@@ -163,8 +163,7 @@
         }
     }
 
-    /// Replaces an object that has version `if_version`; 0 means that it must not
-    /// exist.
+    /// Replaces an object that has version `if_version`; 0 if it must not exist.
     pub async fn write(&self, name: &str, if_version: u64, content: Vec<u8>) -> Write {
         let byte_count = content.len();
         if byte_count > MAX_OBJECT_BYTES {
@@ -202,7 +201,7 @@
         }
     }
 
-    /// Number of calls sent so far.
+    /// Calls made so far.
     #[must_use]
     pub fn call_counts(&self) -> CallCounts {
         CallCounts {
--- a/src/platform/outcome.rs
+++ b/src/platform/outcome.rs
@@ -17,7 +17,7 @@
 pub enum Write {
     /// The write took effect; the new version.
     Written(u64),
-    /// The write had no effect since the version differs; the current version.
+    /// The write had no effect; the current version.
     Conflict(u64),
     /// The write had no effect, for another reason.
     Refused(PlatformError),
@@ -41,7 +41,7 @@
     /// The connection could not be opened: the request was not sent.
     #[error("cannot connect to the platform: {0}")]
     Unreachable(io::Error),
-    /// The connection failed before the response was complete.
+    /// The connection failed during the exchange.
     #[error("the exchange with the platform broke off: {0}")]
     Broken(#[from] hyper::Error),
     /// The request could not be built.
@@ -65,7 +65,7 @@
         /// HTTP status code.
         status: u16,
     },
-    /// Reads still return a version older than one that the platform has reported.
+    /// Reads remain older than a version that the platform has reported.
     #[error("the platform's reads remain older than version {version}")]
     Stale {
         /// The reported version.
--- a/tests/objects_fleet.rs
+++ b/tests/objects_fleet.rs
@@ -26,8 +26,8 @@
     ..POLL_BOUNDS
 };
 
-/// If every node called the store, the number of calls would grow with the fleet, and
-/// the store would reject those of a large fleet.
+/// If every node called the store, calls would grow with the fleet and the store would
+/// reject a large one.
 #[tokio::test(flavor = "multi_thread")]
 async fn only_relays_call_the_store() {
     let mut fleet = Fleet::new(2, 12, RELAYS_ONLY);
@@ -91,9 +91,8 @@
     }
 }
 
-/// The store has dropped its history, so each watch of the relays fails although the
-/// store serves them. If these failures counted as failing calls, all other members would
-/// call the store.
+/// The store has dropped its history, so each watch of the relays fails although it serves
+/// them. If these failures counted, all other members would call the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_without_history_does_not_make_other_members_poll() {
     let mut fleet = Fleet::new(1, 6, LATE_PEER_POLLS);
@@ -149,10 +148,9 @@
     assert!(fleet.wait_all_fresh(true).await);
 }
 
-/// A key is removed while the store has a different fault for each node: it drops its
-/// history, delays responses or rejects calls, and nodes can't fetch from each other. No
-/// node may accept the key for longer than the bound, whichever members it received
-/// versions from.
+/// A key is removed while the store drops its history, delays responses or rejects calls,
+/// differently for each node, and some nodes can't fetch from others. No node may accept
+/// the key for longer than the bound, whichever members it receives versions from.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_node_uses_a_replaced_version_longer_than_the_bound() {
     const FAULTS: [StoreFault; 6] = [
--- a/tests/platform_support/mod.rs
+++ b/tests/platform_support/mod.rs
@@ -34,19 +34,17 @@
     pub delay_ms: u64,
     /// Plain reads and watches return the version before the newest one.
     pub stale: bool,
-    /// Number of writes that take effect but whose responses are lost, not counting
-    /// polls of the current version.
+    /// Number of writes that take effect but lose their response. Version polls don't count.
     pub lost_after_count: usize,
-    /// Every write takes effect and its response is lost; also the responses to polls
-    /// of the current version.
+    /// Every write takes effect and loses its response, and so does every version poll.
     pub all_answers_lost: bool,
-    /// Number of writes that are lost before they take effect, not counting polls of
-    /// the current version.
+    /// Number of writes that are lost before they take effect. Version polls don't
+    /// count.
     pub lost_before_count: usize,
     /// Responses have no version.
     pub no_version: bool,
-    /// Content that another operator writes just after a write whose response is
-    /// lost, or just before a write whose response is not lost.
+    /// Content that another operator writes just after a write that loses its response,
+    /// or just before one that does not.
     pub racer: Option<Vec<u8>>,
 }
 
