--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,9 +1,9 @@
-//! Sending an attempt to another node and reading what became of it.
+//! Sends an attempt to another node and reads its result.
 
 use {
     super::{
-        AttemptAnswer, ContentDigest, FleetAuth, PeerLink, ReceivedContext, decode_answer,
-        encode_context, link::PeerSender,
+        AttemptContext, ContentDigest, FleetAuth, PeerLink, ResponseMetadata,
+        decode_response_metadata, encode_context, link::PeerSender,
     },
     crate::{
         exchange::{
@@ -18,19 +18,19 @@
     std::time::Duration,
 };
 
-/// How an attempt ended at its hop.
+/// Result of an attempt at the next hop.
 #[derive(Debug)]
 pub struct HopResult {
-    /// The target's answer or why there is none.
+    /// The target's response, or the refusal in its place.
     pub result: Result<Answer, Refusal>,
-    /// Retry allotment that came back.
+    /// Unspent part of the retry allotment sent with the attempt.
     pub unspent: u8,
-    /// Admission level of the answering node, if it answered.
+    /// Admission level of the peer, if it responded.
     pub level: Option<AdmissionLevel>,
 }
 
 impl HopResult {
-    /// An end without a word from the other node.
+    /// The result when there is no valid response from the peer.
     #[must_use]
     pub const fn failed(refusal: Refusal, unspent: u8) -> Self {
         Self {
@@ -41,24 +41,25 @@
     }
 }
 
-/// One attempt to send a request to another node.
+/// An attempt to send a request to another node.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt<'a> {
-    /// What the other node is told.
+    /// Request context, sent in a header.
     pub context: &'a RequestContext,
-    /// Whether the other node is the home of the request's idempotency key.
+    /// Whether the peer is the home of the request's idempotency key.
     pub is_guarded: bool,
     /// The request.
     pub outbound: &'a Outbound,
-    /// Answers up to this size are delivered only when whole.
+    /// Response bodies up to this size are buffered and returned only if
+    /// complete; larger ones are streamed.
     pub buffered_bytes: usize,
-    /// Time until the deadline on this node.
+    /// Time left until the deadline.
     pub limit: Duration,
-    /// Time now on this node's clock.
+    /// Current time on this node's clock.
     pub now_unix_ms: u64,
 }
 
-/// Sends an attempt; dropping the future cancels it on the other node.
+/// Sends an attempt; dropping the future cancels it on the peer.
 pub async fn send(
     link: &PeerLink,
     attempt: Attempt<'_>,
@@ -66,67 +67,67 @@
     names: &Names,
 ) -> HopResult {
     let context = attempt.context;
-    let unsent = Refusal::not_run(Reason::ConnectionLost);
+    let not_sent = Refusal::not_run(Reason::ConnectionLost);
     let Ok(mut sender) = link.sender(context.class).await else {
-        return HopResult::failed(unsent, context.retry_allotment);
+        return HopResult::failed(not_sent, context.retry_allotment);
     };
     let attempt_id = rand::random();
-    let Some(request) = request_of(link, attempt, attempt_id, auth, names) else {
+    let Some(request) = build_request(link, attempt, attempt_id, auth, names) else {
         let refusal = Refusal::not_run(Reason::BadRequest);
         return HopResult::failed(refusal, context.retry_allotment);
     };
     let response = match try_send(&mut sender, request).await {
         Ok(response) => response,
-        Err(Unanswered::Unsent) => return HopResult::failed(unsent, context.retry_allotment),
-        // What was lent is lost with the answer: it may still be spent.
-        Err(Unanswered::Lost) => {
+        Err(SendError::NotSent) => return HopResult::failed(not_sent, context.retry_allotment),
+        // The allotment sent along is lost too: the peer may still spend it.
+        Err(SendError::ResponseLost) => {
             return HopResult::failed(Refusal::unknown(Reason::ConnectionLost), 0);
         }
     };
-    // The clock of an instance may be far off, or was when its process started.
-    // Its contexts would be taken for old ones that somebody recorded, and no
-    // request would pass between it and the others. They are stamped by the
-    // receiver's clock, which the receiver tells.
-    if let Some(their_unix_ms) = authentic_clock(&response, attempt_id, auth) {
-        link.record_clock(their_unix_ms, attempt.now_unix_ms);
-        return HopResult::failed(unsent, context.retry_allotment);
+    // An instance's clock may be far off, or may have been when its process
+    // started. Peers would refuse its contexts as replayed, and no request would
+    // pass between them. The peer therefore returns its clock, and contexts are
+    // timestamped by the receiver's clock.
+    if let Some(peer_unix_ms) = authentic_clock(&response, attempt_id, auth) {
+        link.record_clock(peer_unix_ms, attempt.now_unix_ms);
+        return HopResult::failed(not_sent, context.retry_allotment);
     }
-    let Some(told) = authentic_answer(&response, attempt_id, auth) else {
+    let Some(metadata) = authentic_metadata(&response, attempt_id, auth) else {
         return HopResult::failed(Refusal::unknown(Reason::BadAnswer), 0);
     };
-    let result = match told.refusal {
+    let result = match metadata.refusal {
         Some(refusal) => Err(refusal),
-        None => read_answer(response, attempt).await,
+        None => read_response(response, attempt).await,
     };
     HopResult {
         result,
-        unspent: told.unspent.min(context.retry_allotment),
-        level: Some(told.level),
+        unspent: metadata.unspent.min(context.retry_allotment),
+        level: Some(metadata.level),
     }
 }
 
-enum Unanswered {
-    Unsent,
-    Lost,
+enum SendError {
+    NotSent,
+    ResponseLost,
 }
 
 async fn try_send(
     sender: &mut PeerSender,
     request: Request<Full<Bytes>>,
-) -> Result<Response<Incoming>, Unanswered> {
+) -> Result<Response<Incoming>, SendError> {
     if sender.ready().await.is_err() {
-        return Err(Unanswered::Unsent);
+        return Err(SendError::NotSent);
     }
     sender.try_send_request(request).await.map_err(|mut error| {
-        // Only a request that comes back unsent has provably not left.
+        // Only if hyper returns the request was it certainly not sent.
         match error.take_message() {
-            Some(_) => Unanswered::Unsent,
-            None => Unanswered::Lost,
+            Some(_) => SendError::NotSent,
+            None => SendError::ResponseLost,
         }
     })
 }
 
-fn request_of(
+fn build_request(
     link: &PeerLink,
     attempt: Attempt<'_>,
     attempt_id: u64,
@@ -145,14 +146,14 @@
         .path_and_query(outbound.path.clone())
         .build()
         .ok()?;
-    let sent = ReceivedContext {
+    let attempt_context = AttemptContext {
         context: *attempt.context,
         attempt_id,
         is_guarded: attempt.is_guarded,
         content: ContentDigest::new(outbound.headers.get(IDEMPOTENCY_KEY), &outbound.body),
     };
-    let sent_unix_ms = link.their_unix_ms(attempt.now_unix_ms);
-    let context = encode_context(&sent, names, sent_unix_ms);
+    let sent_unix_ms = link.peer_unix_ms(attempt.now_unix_ms);
+    let context = encode_context(&attempt_context, names, sent_unix_ms);
     let proof = auth.sign(&[
         context.as_bytes(),
         outbound.method.as_str().as_bytes(),
@@ -167,7 +168,7 @@
     Some(request)
 }
 
-/// What the other node's clock says, where it took this attempt for too old.
+/// The peer's clock, if it refused this attempt because of its timestamp.
 fn authentic_clock(
     response: &Response<Incoming>,
     attempt_id: u64,
@@ -182,24 +183,24 @@
     value.to_str().ok()?.parse().ok()
 }
 
-/// The other node's word on this very attempt. An answer to a different
-/// attempt, late or crossed, must never be delivered in its place.
-fn authentic_answer(
+/// The peer's metadata for exactly this attempt. The response to another
+/// attempt, late or mixed up, must never be returned in its place.
+fn authentic_metadata(
     response: &Response<Incoming>,
     attempt_id: u64,
     auth: &FleetAuth,
-) -> Option<AttemptAnswer> {
+) -> Option<ResponseMetadata> {
     let value = response.headers().get(ANSWER)?;
     let proof = response.headers().get(ANSWER_AUTH)?;
     if !auth.is_authentic(proof, &[value.as_bytes()]) {
         return None;
     }
-    decode_answer(value)
+    decode_response_metadata(value)
         .ok()
-        .filter(|told| told.attempt_id == attempt_id)
+        .filter(|metadata| metadata.attempt_id == attempt_id)
 }
 
-async fn read_answer(
+async fn read_response(
     response: Response<Incoming>,
     attempt: Attempt<'_>,
 ) -> Result<Answer, Refusal> {
--- a/src/peer/headers.rs
+++ b/src/peer/headers.rs
@@ -1,4 +1,5 @@
-//! Context and answer headers between nodes, with their authentication.
+//! Encodes, decodes and authenticates the headers that nodes exchange: the
+//! context of an attempt and the metadata of its response.
 
 use {
     crate::{
@@ -16,28 +17,31 @@
     std::sync::LazyLock,
 };
 
-/// Longest time between sending and arrival of a context, in milliseconds.
+/// Maximum difference between a context's timestamp and the receiver's clock,
+/// in milliseconds.
 pub const MAX_CONTEXT_AGE_MS: u64 = 30_000;
 
-/// Length of a truncated HMAC; half of it, as RFC 2104 recommends at least.
+/// Length of a truncated HMAC tag: half of HMAC-SHA-256, the minimum that RFC
+/// 2104 recommends.
 pub const TAG_BYTES: usize = 16;
 
-/// Words that a header holds at most: texts in it are short names.
+/// Maximum size of a decoded header in Cap'n Proto words; texts in it are short
+/// names.
 const MAX_HEADER_WORDS: usize = 1024;
 
-/// Why a header of another node is not believed.
+/// Why a header from another node is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PeerHeaderError {
     /// Not base64, not Cap'n Proto, or a field out of range.
     #[error("malformed")]
     Malformed,
-    /// The authentication does not match.
+    /// The authentication tag does not match.
     #[error("not authentic")]
     NotAuthentic,
-    /// Sent too long ago, or by a clock that is far ahead.
-    #[error("sent more than {MAX_CONTEXT_AGE_MS} ms ago or ahead")]
-    TooOld {
-        /// The attempt, for the word back.
+    /// The timestamp is too far in the past or in the future.
+    #[error("timestamp differs by more than {MAX_CONTEXT_AGE_MS} ms from this node's clock")]
+    TimestampOutOfRange {
+        /// Id of the attempt, for the response.
         attempt_id: u64,
     },
 }
@@ -48,29 +52,30 @@
     }
 }
 
-/// A context as it came from another node.
+/// Context of an attempt, as sent between nodes.
 #[derives::value]
 #[derive(Copy, Eq)]
-pub struct ReceivedContext {
-    /// The context.
+pub struct AttemptContext {
+    /// Context of the request.
     pub context: RequestContext,
-    /// The attempt, for the answer.
+    /// Id of the attempt, repeated in the response.
     pub attempt_id: u64,
-    /// It is for the home of its idempotency key, which sends it on.
+    /// Whether the receiver is the home of the idempotency key, which forwards
+    /// the attempt to a target.
     pub is_guarded: bool,
-    /// What the attempt has to carry besides method and path.
+    /// Digest that the attempt's idempotency key and body must match.
     pub content: ContentDigest,
 }
 
 /// SHA-256 of the Idempotency-Key and the body of an attempt.
 ///
-/// Without it, whoever can write to a connection between nodes could put
-/// another order under an authentic context.
+/// Without it, anyone who can write to a connection between nodes could send
+/// another body under an authentic context.
 #[derives::key]
 pub struct ContentDigest(pub [u8; 32]);
 
 impl ContentDigest {
-    /// Digest of this content.
+    /// Computes the digest.
     #[must_use]
     pub fn new(idempotency_key: Option<&HeaderValue>, body: &[u8]) -> Self {
         let key = idempotency_key.map_or(&[][..], HeaderValue::as_bytes);
@@ -81,81 +86,82 @@
         Self(hash.finalize().into())
     }
 
-    /// Digest of an attempt without key and body; not sent.
-    fn of_nothing() -> Self {
+    /// Digest of an attempt without key and body; omitted from the header.
+    fn empty() -> Self {
         static DIGEST: LazyLock<ContentDigest> = LazyLock::new(|| ContentDigest::new(None, &[]));
         *DIGEST
     }
 }
 
-/// What a node tells about an attempt besides the HTTP answer.
+/// Metadata that a node adds to the HTTP response to an attempt, in the
+/// `dogwood-answer` header.
 #[derives::value]
 #[derive(Copy, Eq)]
-pub struct AttemptAnswer {
-    /// The attempt.
+pub struct ResponseMetadata {
+    /// Id of the attempt.
     pub attempt_id: u64,
-    /// Set unless the answer is a target's own.
+    /// Why there is no response of a target; `None` if there is one.
     pub refusal: Option<Refusal>,
-    /// Retry allotment that comes back.
+    /// Unspent part of the attempt's retry allotment.
     pub unspent: u8,
-    /// Admission level of the answering node.
+    /// Admission level of the responding node.
     pub level: AdmissionLevel,
 }
 
-/// Signs and verifies with the fleet secret.
+/// Signs and verifies headers and datagrams with the fleet secret.
 #[derive(Debug, Clone)]
 pub struct FleetAuth {
     mac: Hmac<Sha256>,
 }
 
 impl FleetAuth {
-    /// Authentication by this secret.
+    /// Creates it from the fleet secret.
     #[must_use]
     pub fn new(secret: &str) -> Self {
         let mac = Hmac::new_from_slice(secret.as_bytes()).expect("any length of key works");
         Self { mac }
     }
 
-    /// Header value that proves these parts, in this order.
+    /// Header value that authenticates these parts in this order.
     #[must_use]
     pub fn sign(&self, parts: &[&[u8]]) -> HeaderValue {
-        let tag = STANDARD_NO_PAD.encode(self.tag_of(parts));
+        let tag = STANDARD_NO_PAD.encode(self.compute_tag(parts));
         HeaderValue::try_from(tag).expect("base64 is visible")
     }
 
-    /// Whether the header value proves these parts; takes the same time
-    /// wherever the two differ.
+    /// Whether the header value authenticates these parts; compares in constant
+    /// time.
     #[must_use]
     pub fn is_authentic(&self, value: &HeaderValue, parts: &[&[u8]]) -> bool {
         let tag = STANDARD_NO_PAD.decode(value.as_bytes());
-        tag.is_ok_and(|tag| self.proves(parts, &tag))
+        tag.is_ok_and(|tag| self.verify(parts, &tag))
     }
 
-    /// Tag that proves a datagram.
+    /// Tag that authenticates a datagram.
     #[must_use]
     pub fn tag(&self, content: &[u8]) -> [u8; TAG_BYTES] {
-        self.tag_of(&[content])
+        self.compute_tag(&[content])
     }
 
-    /// Whether the tag proves the datagram.
+    /// Whether the tag authenticates the datagram.
     #[must_use]
     pub fn is_tagged(&self, content: &[u8], tag: &[u8]) -> bool {
-        self.proves(&[content], tag)
+        self.verify(&[content], tag)
     }
 
-    fn tag_of(&self, parts: &[&[u8]]) -> [u8; TAG_BYTES] {
-        let whole = self.mac_of(parts).finalize().into_bytes();
-        std::array::from_fn(|index| whole[index])
+    fn compute_tag(&self, parts: &[&[u8]]) -> [u8; TAG_BYTES] {
+        let full_tag = self.compute_mac(parts).finalize().into_bytes();
+        std::array::from_fn(|index| full_tag[index])
     }
 
-    fn proves(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
-        tag.len() == TAG_BYTES && self.mac_of(parts).verify_truncated_left(tag).is_ok()
+    fn verify(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
+        tag.len() == TAG_BYTES && self.compute_mac(parts).verify_truncated_left(tag).is_ok()
     }
 
-    fn mac_of(&self, parts: &[&[u8]]) -> Hmac<Sha256> {
+    fn compute_mac(&self, parts: &[&[u8]]) -> Hmac<Sha256> {
         let mut mac = self.mac.clone();
         for part in parts {
-            // The length keeps parts apart: without it, bytes could be moved
+            // The length separates the parts: without it, bytes could be moved
             // from the path to the method under the same tag.
             mac.update(&(part.len() as u64).to_le_bytes());
             mac.update(part);
@@ -164,10 +170,11 @@
     }
 }
 
-/// Header value of a context, stamped with this time on the receiver's clock.
+/// Encodes a context; `sent_unix_ms` is the current time on the receiver's
+/// clock.
 #[must_use]
-pub fn encode_context(received: &ReceivedContext, names: &Names, sent_unix_ms: u64) -> HeaderValue {
-    let context = &received.context;
+pub fn encode_context(attempt: &AttemptContext, names: &Names, sent_unix_ms: u64) -> HeaderValue {
+    let context = &attempt.context;
     let mut message = message::Builder::new_default();
     let mut builder = message.init_root::<peer_capnp::context::Builder<'_>>();
     builder.set_request_id(context.request_id.as_str().as_bytes());
@@ -179,36 +186,37 @@
     builder.set_depth(context.depth);
     builder.set_repeatable(context.repeatable);
     builder.set_sent_unix_ms(sent_unix_ms);
-    builder.set_attempt_id(received.attempt_id);
-    builder.set_guarded(received.is_guarded);
+    builder.set_attempt_id(attempt.attempt_id);
+    builder.set_guarded(attempt.is_guarded);
     builder.set_key_digest(&context.key.0);
-    if received.content != ContentDigest::of_nothing() {
-        builder.set_content_digest(&received.content.0);
+    if attempt.content != ContentDigest::empty() {
+        builder.set_content_digest(&attempt.content.0);
     }
-    to_header(&message)
+    to_header_value(&message)
 }
 
-/// Context and attempt id of an authenticated header value.
+/// Decodes a context whose header value was authenticated; fails if its
+/// timestamp is out of range.
 pub fn decode_context(
     value: &HeaderValue,
     names: &Names,
     now_unix_ms: u64,
-) -> Result<ReceivedContext, PeerHeaderError> {
-    let bytes = from_header(value)?;
+) -> Result<AttemptContext, PeerHeaderError> {
+    let bytes = from_header_value(value)?;
     let message = serialize_packed::read_message(bytes.as_slice(), reader_options())?;
     let reader = message.get_root::<peer_capnp::context::Reader<'_>>()?;
-    // A stamp from the future would make a recorded header last longer.
+    // A timestamp in the future would extend the time for a replay.
     if now_unix_ms.abs_diff(reader.get_sent_unix_ms()) > MAX_CONTEXT_AGE_MS {
         let attempt_id = reader.get_attempt_id();
-        return Err(PeerHeaderError::TooOld { attempt_id });
+        return Err(PeerHeaderError::TimestampOutOfRange { attempt_id });
     }
     let text =
         |text: capnp::text::Reader<'_>| text.to_string().map_err(|_| PeerHeaderError::Malformed);
     let class = Class::from_index(usize::from(reader.get_class()));
     let context = RequestContext {
-        request_id: request_id_of(reader.get_request_id()?)?,
+        request_id: parse_request_id(reader.get_request_id()?)?,
         workspace: names.workspace(&text(reader.get_workspace()?)?),
-        key: KeyDigest(digest_of(reader.get_key_digest()?)?),
+        key: KeyDigest(parse_digest(reader.get_key_digest()?)?),
         service: names.service(&text(reader.get_service()?)?),
         class: class.ok_or(PeerHeaderError::Malformed)?,
         remaining_us: reader.get_remaining_us(),
@@ -216,49 +224,49 @@
         depth: reader.get_depth(),
         repeatable: reader.get_repeatable(),
     };
-    Ok(ReceivedContext {
+    Ok(AttemptContext {
         context,
         attempt_id: reader.get_attempt_id(),
         is_guarded: reader.get_guarded(),
         content: match reader.get_content_digest()? {
-            [] => ContentDigest::of_nothing(),
-            digest => ContentDigest(digest_of(digest)?),
+            [] => ContentDigest::empty(),
+            digest => ContentDigest(parse_digest(digest)?),
         },
     })
 }
 
-fn request_id_of(bytes: &[u8]) -> Result<RequestId, PeerHeaderError> {
+fn parse_request_id(bytes: &[u8]) -> Result<RequestId, PeerHeaderError> {
     let text = std::str::from_utf8(bytes).map_err(|_| PeerHeaderError::Malformed)?;
     RequestId::new(text).ok_or(PeerHeaderError::Malformed)
 }
 
-fn digest_of(bytes: &[u8]) -> Result<[u8; 32], PeerHeaderError> {
+fn parse_digest(bytes: &[u8]) -> Result<[u8; 32], PeerHeaderError> {
     bytes.try_into().map_err(|_| PeerHeaderError::Malformed)
 }
 
-/// Header value of an answer.
+/// Encodes response metadata.
 #[must_use]
-pub fn encode_answer(answer: &AttemptAnswer) -> HeaderValue {
+pub fn encode_response_metadata(metadata: &ResponseMetadata) -> HeaderValue {
     let mut message = message::Builder::new_default();
     let mut builder = message.init_root::<peer_capnp::answer::Builder<'_>>();
-    builder.set_attempt_id(answer.attempt_id);
-    if let Some(refusal) = answer.refusal {
+    builder.set_attempt_id(metadata.attempt_id);
+    if let Some(refusal) = metadata.refusal {
         builder.set_outcome(refusal.outcome as u8);
         builder.set_reason(refusal.reason as u8);
         builder.set_retry_after_ms(refusal.retry_after_ms);
         builder.set_exhausted(refusal.exhausted);
     }
-    builder.set_unspent(answer.unspent);
-    builder.set_lowest_class(answer.level.lowest_class as u8);
-    builder.set_load_percent(answer.level.load_percent);
-    builder.set_below_percent(answer.level.below_percent);
-    builder.set_draining(answer.level.draining);
-    to_header(&message)
+    builder.set_unspent(metadata.unspent);
+    builder.set_lowest_class(metadata.level.lowest_class as u8);
+    builder.set_load_percent(metadata.level.load_percent);
+    builder.set_below_percent(metadata.level.below_percent);
+    builder.set_draining(metadata.level.draining);
+    to_header_value(&message)
 }
 
-/// Answer of an authenticated header value.
-pub fn decode_answer(value: &HeaderValue) -> Result<AttemptAnswer, PeerHeaderError> {
-    let bytes = from_header(value)?;
+/// Decodes response metadata whose header value was authenticated.
+pub fn decode_response_metadata(value: &HeaderValue) -> Result<ResponseMetadata, PeerHeaderError> {
+    let bytes = from_header_value(value)?;
     let message = serialize_packed::read_message(bytes.as_slice(), reader_options())?;
     let reader = message.get_root::<peer_capnp::answer::Reader<'_>>()?;
     let lowest_class = Class::from_index(usize::from(reader.get_lowest_class()));
@@ -277,7 +285,7 @@
             exhausted: reader.get_exhausted(),
         }),
     };
-    Ok(AttemptAnswer {
+    Ok(ResponseMetadata {
         attempt_id: reader.get_attempt_id(),
         refusal,
         unspent: reader.get_unspent(),
@@ -290,18 +298,18 @@
     })
 }
 
-/// Bounds the memory that a packed header can claim.
+/// Limits the memory that a packed header can allocate.
 fn reader_options() -> message::ReaderOptions {
     *message::ReaderOptions::new().traversal_limit_in_words(Some(MAX_HEADER_WORDS))
 }
 
-fn to_header(message: &message::Builder<message::HeapAllocator>) -> HeaderValue {
+fn to_header_value(message: &message::Builder<message::HeapAllocator>) -> HeaderValue {
     let mut bytes = Vec::new();
     serialize_packed::write_message(&mut bytes, message).expect("a Vec accepts all writes");
     HeaderValue::try_from(STANDARD_NO_PAD.encode(bytes)).expect("base64 is visible")
 }
 
-fn from_header(value: &HeaderValue) -> Result<Vec<u8>, PeerHeaderError> {
+fn from_header_value(value: &HeaderValue) -> Result<Vec<u8>, PeerHeaderError> {
     STANDARD_NO_PAD
         .decode(value.as_bytes())
         .map_err(|_| PeerHeaderError::Malformed)
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! Connections to another node.
+//! HTTP/2 connections to another node.
 
 use {
     crate::model::Class,
@@ -17,120 +17,121 @@
     tokio::{net::TcpSocket, sync::watch},
 };
 
-/// Sends requests on one connection.
+/// Sends requests over a connection.
 pub type PeerSender = http2::SendRequest<Full<Bytes>>;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
 const CONNECTION_WINDOW_BYTES: u32 = 8 << 20;
 const SEND_STREAM_COUNT: usize = 1024;
-/// Resets that the library remembers; a surge of cancelled requests must not
-/// end the connection that others share.
+/// Reset streams that hyper remembers. A frame for a forgotten one closes the
+/// connection; a surge of cancelled requests must not do that to the others.
 const RESET_STREAM_COUNT: usize = 4096;
-/// A peer that vanished without closing is noticed within the sum of both.
+/// A peer that disappears without closing is detected within the sum of
+/// interval and timeout.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// No connection to the other node could be made.
+/// A connection to the peer could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The system refused.
+    /// The TCP connection failed.
     #[error("cannot connect to {address}: {source}")]
     Connect {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// No answer in time.
+    /// The connection was not open in time.
     #[error("cannot connect to {address} within {CONNECT_TIMEOUT:?}")]
     Timeout {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
     },
     /// The HTTP/2 handshake failed.
-    #[error("HTTP/2 handshake: {0}")]
+    #[error("HTTP/2 handshake failed: {0}")]
     Handshake(#[from] hyper::Error),
 }
 
 #[derive(Debug, Default)]
-struct Lane {
+struct SharedConnection {
     sender: Mutex<Option<PeerSender>>,
-    connecting: tokio::sync::Mutex<()>,
+    connect_lock: tokio::sync::Mutex<()>,
 }
 
-/// Connections to one process of another node.
+/// Connections to a process of another node.
 ///
-/// Critical requests have a connection of their own, so that streams and flow
-/// control used up by browsing cannot hold them up.
+/// Critical requests have a connection of their own, so that other classes
+/// cannot block them by using up its streams or flow control window.
 #[derive(Debug)]
 pub struct PeerLink {
     local_ip: IpAddr,
     address: SocketAddr,
-    lanes: [Lane; 2],
+    connections: [SharedConnection; 2],
     is_silent: watch::Sender<bool>,
-    /// The other node's clock less the own one, in milliseconds.
+    /// The peer's clock minus the local clock, in milliseconds.
     clock_offset_ms: AtomicI64,
 }
 
 impl PeerLink {
-    /// A link without connections yet; `local_ip` is the own address.
+    /// Creates a link without open connections; they are made from `local_ip`.
     #[must_use]
     pub fn new(local_ip: IpAddr, address: SocketAddr) -> Arc<Self> {
         Arc::new(Self {
             local_ip,
             address,
-            lanes: Default::default(),
+            connections: Default::default(),
             is_silent: watch::Sender::new(false),
             clock_offset_ms: AtomicI64::new(0),
         })
     }
 
-    /// Time on the other node's clock, as far as it told.
+    /// Time on the peer's clock; local time until the peer has reported its own.
     #[must_use]
-    pub fn their_unix_ms(&self, own_unix_ms: u64) -> u64 {
-        own_unix_ms.saturating_add_signed(self.clock_offset_ms.load(Ordering::Relaxed))
+    pub fn peer_unix_ms(&self, local_unix_ms: u64) -> u64 {
+        local_unix_ms.saturating_add_signed(self.clock_offset_ms.load(Ordering::Relaxed))
     }
 
-    /// The other node told what its clock says.
-    pub fn record_clock(&self, their_unix_ms: u64, own_unix_ms: u64) {
-        let offset_ms = their_unix_ms.wrapping_sub(own_unix_ms).cast_signed();
+    /// Records the clock that the peer reported.
+    pub fn record_clock(&self, peer_unix_ms: u64, local_unix_ms: u64) {
+        let offset_ms = peer_unix_ms.wrapping_sub(local_unix_ms).cast_signed();
         self.clock_offset_ms.store(offset_ms, Ordering::Relaxed);
     }
 
-    /// Tells whether the other node has stopped to answer.
+    /// Sets whether the peer has stopped responding.
     pub fn set_silent(&self, is_silent: bool) {
         self.is_silent
-            .send_if_modified(|known| std::mem::replace(known, is_silent) != is_silent);
+            .send_if_modified(|was_silent| std::mem::replace(was_silent, is_silent) != is_silent);
     }
 
-    /// Waits until the other node has stopped to answer.
+    /// Waits until the peer has stopped responding.
     pub async fn wait_until_silent(&self) {
-        // The sender lives as long as this link.
+        // The wait cannot fail: this link owns the sender.
         let _ = self.is_silent.subscribe().wait_for(|silent| *silent).await;
     }
 
-    /// Address of the other node.
+    /// Address of the peer.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// An open connection for this class, made when there is none.
+    /// An open connection for this class; opened if there is none.
     pub async fn sender(&self, class: Class) -> Result<PeerSender, LinkError> {
-        let lane = &self.lanes[usize::from(class == Class::Critical)];
-        if let Some(sender) = lane.open_sender() {
+        let connection = &self.connections[usize::from(class == Class::Critical)];
+        if let Some(sender) = connection.open_sender() {
             return Ok(sender);
         }
-        let _connecting = lane.connecting.lock().await;
-        if let Some(sender) = lane.open_sender() {
+        let _connecting = connection.connect_lock.lock().await;
+        if let Some(sender) = connection.open_sender() {
             return Ok(sender);
         }
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, self.connect());
         let sender = connecting.await.map_err(|_| LinkError::Timeout {
             address: self.address,
         })??;
-        *lane.sender.lock().expect("lock is not poisoned") = Some(sender.clone());
+        *connection.sender.lock().expect("lock is not poisoned") = Some(sender.clone());
         Ok(sender)
     }
 
@@ -156,7 +157,7 @@
     }
 }
 
-impl Lane {
+impl SharedConnection {
     fn open_sender(&self) -> Option<PeerSender> {
         let sender = self.sender.lock().expect("lock is not poisoned");
         sender
@@ -166,8 +167,8 @@
     }
 }
 
-/// Connects from the own address, so that other instances and fault tests see
-/// where it comes from.
+/// Connects from the local address, so that other instances and fault tests can
+/// identify the source.
 pub async fn connect_from(
     local_ip: IpAddr,
     address: SocketAddr,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,18 +1,19 @@
-//! HTTP/2 between nodes.
+//! Forwards requests between nodes over authenticated HTTP/2.
 
-mod arrivals;
 mod client;
 mod headers;
 mod link;
+mod seen_attempts;
 mod server;
 
 pub use {
-    arrivals::SeenAttempts,
     client::{Attempt, HopResult, send},
     headers::{
-        AttemptAnswer, ContentDigest, FleetAuth, MAX_CONTEXT_AGE_MS, PeerHeaderError,
-        ReceivedContext, TAG_BYTES, decode_answer, decode_context, encode_answer, encode_context,
+        AttemptContext, ContentDigest, FleetAuth, MAX_CONTEXT_AGE_MS, PeerHeaderError,
+        ResponseMetadata, TAG_BYTES, decode_context, decode_response_metadata, encode_context,
+        encode_response_metadata,
     },
     link::{LinkError, PeerLink, connect_from},
+    seen_attempts::SeenAttempts,
     server::serve_peers,
 };
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,9 +1,9 @@
-//! Attempts that arrive from other nodes.
+//! Serves attempts from other nodes.
 
 use {
     super::{
-        AttemptAnswer, ContentDigest, PeerHeaderError, ReceivedContext, decode_context,
-        encode_answer,
+        AttemptContext, ContentDigest, PeerHeaderError, ResponseMetadata, decode_context,
+        encode_response_metadata,
     },
     crate::{
         event,
@@ -24,21 +24,21 @@
     tokio::net::TcpListener,
 };
 
-const CONNECTION_COUNT: usize = 8192;
-const STREAM_COUNT: u32 = 4096;
+const MAX_CONNECTION_COUNT: usize = 8192;
+const MAX_STREAM_COUNT: u32 = 4096;
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Room for what nodes add to a caller's headers.
+/// Allowance for the headers that nodes add to a caller's.
 const ADDED_HEADER_BYTES: usize = 4096;
 
 /// Serves other nodes until the node stops.
 ///
-/// It goes on during a drain: attempts on their way are answered.
+/// Continues during a drain, so that attempts already sent get a response.
 pub async fn serve_peers<P: Policies>(node: Arc<Node<P>>, listener: TcpListener) {
     let limits = ListenerLimits {
-        connection_count: CONNECTION_COUNT,
+        connection_count: MAX_CONNECTION_COUNT,
         header_bytes: node.settings.max_header_bytes + ADDED_HEADER_BYTES,
         header_timeout: HEADER_TIMEOUT,
-        stream_count: STREAM_COUNT,
+        stream_count: MAX_STREAM_COUNT,
     };
     let (closing, stopped) = (node.peers_closing.clone(), node.stopped.clone());
     let open_count = Arc::clone(&node.peer_connection_count);
@@ -50,29 +50,33 @@
     node: Arc<Node<P>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let received = match authentic_context(&node, &request) {
-        Ok(received) => received,
-        Err(PeerHeaderError::TooOld { attempt_id }) => return tell_clock(&node, attempt_id),
-        Err(_) => return refuse_stranger(request.method()),
+    let attempt = match authentic_context(&node, &request) {
+        Ok(attempt) => attempt,
+        Err(PeerHeaderError::TimestampOutOfRange { attempt_id }) => {
+            return send_clock(&node, attempt_id);
+        }
+        Err(_) => return refuse_forged(request.method()),
     };
     let _in_flight = node.begin();
     let method = request.method().clone();
-    let (result, unspent) = match read(&node, request).await {
-        Ok(outbound) if !carries(&outbound, received.content) => return refuse_stranger(&method),
-        Ok(outbound) if received.is_guarded => {
-            serve_at_home(&node, &received.context, outbound).await
+    let (result, unspent) = match read_request(&node, request).await {
+        Ok(outbound) if !matches_digest(&outbound, attempt.content) => {
+            return refuse_forged(&method);
+        }
+        Ok(outbound) if attempt.is_guarded => {
+            serve_at_home(&node, &attempt.context, outbound).await
         }
-        Ok(outbound) => serve_local(&node, &received.context, &outbound).await,
-        Err(refusal) => (Err(refusal), received.context.retry_allotment),
+        Ok(outbound) => serve_local(&node, &attempt.context, &outbound).await,
+        Err(refusal) => (Err(refusal), attempt.context.retry_allotment),
     };
-    let level = node.level(received.context.class);
-    let told = AttemptAnswer {
-        attempt_id: received.attempt_id,
+    let level = node.level(attempt.context.class);
+    let metadata = ResponseMetadata {
+        attempt_id: attempt.attempt_id,
         refusal: result.as_ref().err().copied(),
         unspent,
         level,
     };
-    let value = encode_answer(&told);
+    let value = encode_response_metadata(&metadata);
     let proof = node.auth.sign(&[value.as_bytes()]);
     let mut response = response_of(result);
     response.headers_mut().insert(ANSWER, value);
@@ -83,7 +87,7 @@
 fn authentic_context<P: Policies>(
     node: &Node<P>,
     request: &Request<Incoming>,
-) -> Result<ReceivedContext, PeerHeaderError> {
+) -> Result<AttemptContext, PeerHeaderError> {
     let headers = request.headers();
     let (context, proof) = match (headers.get(CONTEXT), headers.get(AUTH)) {
         (Some(context), Some(proof)) => (context, proof),
@@ -98,17 +102,19 @@
     if !node.auth.is_authentic(proof, &parts) {
         return Err(PeerHeaderError::NotAuthentic);
     }
-    let received = decode_context(context, &node.names, node.timer.steady_unix_ms())?;
-    let is_first = node.arrivals.note(received.attempt_id, node.timer.now_ms());
+    let attempt = decode_context(context, &node.names, node.timer.steady_unix_ms())?;
+    let is_first = node
+        .arrivals
+        .record(attempt.attempt_id, node.timer.now_ms());
     match is_first {
-        true => Ok(received),
+        true => Ok(attempt),
         false => Err(PeerHeaderError::NotAuthentic),
     }
 }
 
-/// Tells a node of the fleet by which clock its contexts are judged here. Nothing
-/// of the attempt was looked at.
-fn tell_clock<P: Policies>(node: &Node<P>, attempt_id: u64) -> Response<AnswerBody> {
+/// Reports this node's clock to a node of the fleet whose timestamp is out of
+/// range. The attempt was not processed.
+fn send_clock<P: Policies>(node: &Node<P>, attempt_id: u64) -> Response<AnswerBody> {
     event!(Event::ClockDiffers, "port=peer");
     let refusal = Refusal::not_run(Reason::NotAuthentic);
     let mut response = refusal_response(refusal, "the clocks of the nodes differ");
@@ -120,18 +126,18 @@
     response
 }
 
-fn refuse_stranger(method: &Method) -> Response<AnswerBody> {
+fn refuse_forged(method: &Method) -> Response<AnswerBody> {
     event!(Event::ContextForged, "port=peer method={method}");
     let refusal = Refusal::not_run(Reason::NotAuthentic);
-    refusal_response(refusal, "only nodes of the fleet may send here")
+    refusal_response(refusal, "only nodes of the fleet may use this port")
 }
 
-fn carries(outbound: &Outbound, content: ContentDigest) -> bool {
+fn matches_digest(outbound: &Outbound, content: ContentDigest) -> bool {
     let idempotency_key = outbound.headers.get(IDEMPOTENCY_KEY);
     ContentDigest::new(idempotency_key, &outbound.body) == content
 }
 
-async fn read<P: Policies>(
+async fn read_request<P: Policies>(
     node: &Node<P>,
     request: Request<Incoming>,
 ) -> Result<Outbound, Refusal> {
--- a/tests/peer_faults.rs
+++ b/tests/peer_faults.rs
@@ -1,4 +1,5 @@
-//! Connections between nodes break, and strangers stand where nodes should.
+//! Faults on connections between nodes: broken connections, fake peers at a
+//! node's address, malformed headers and wrong clocks.
 
 #[path = "admission_support/generated.rs"]
 mod generated;
@@ -9,7 +10,7 @@
         keys::KeyDigest,
         model::{Class, Names, RequestContext, RequestId},
         peer::{
-            ContentDigest, FleetAuth, PeerHeaderError, PeerLink, ReceivedContext, decode_context,
+            AttemptContext, ContentDigest, FleetAuth, PeerHeaderError, PeerLink, decode_context,
             encode_context,
         },
         timer::unix_ms,
@@ -27,34 +28,34 @@
 };
 
 const CALL_COUNT: usize = 30;
-const GENERATED_COUNT: usize = 2000;
+const GENERATED_CASE_COUNT: usize = 2000;
 
 async fn get(mesh: &Mesh, path: &str) -> Seen {
     let request = client::request("GET", path, &[("dogwood-key", KEY)], b"");
     client::send(mesh[0].caller_address(), request).await
 }
 
-/// What stands at the address of a member.
+/// What a test places at the address of a member.
 #[derive(Clone, Copy)]
-enum Stranger {
+enum FakePeer {
     /// Nothing listens.
-    Nobody,
-    /// Reads what is sent and closes.
-    Breaks,
-    /// Answers with a well-formed HTTP/2 response of its own.
-    Answers,
+    NotListening,
+    /// Reads part of the request and closes the connection.
+    ClosesConnection,
+    /// Sends a well-formed HTTP/2 response without authentication.
+    RespondsUnauthenticated,
 }
 
-async fn stranger(kind: Stranger) -> SocketAddr {
+async fn start_fake_peer(kind: FakePeer) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     match kind {
-        Stranger::Nobody => drop(listener),
-        Stranger::Breaks => {
+        FakePeer::NotListening => drop(listener),
+        FakePeer::ClosesConnection => {
             tokio::spawn(async move {
                 loop {
                     let (mut stream, _) = listener.accept().await.unwrap();
-                    // Acknowledges the settings, so that the request is sent.
+                    // Sends HTTP/2 settings, so that the client sends the request.
                     let settings = [0, 0, 0, 4, 0, 0, 0, 0, 0];
                     stream.write_all(&settings).await.unwrap();
                     let mut read_bytes = 0;
@@ -68,14 +69,14 @@
                 }
             });
         }
-        Stranger::Answers => {
-            tokio::spawn(serve_stranger(listener));
+        FakePeer::RespondsUnauthenticated => {
+            tokio::spawn(serve_unauthenticated_responses(listener));
         }
     }
     address
 }
 
-async fn serve_stranger(listener: TcpListener) {
+async fn serve_unauthenticated_responses(listener: TcpListener) {
     use hyper_util::rt::{TokioExecutor, TokioIo};
     loop {
         let (stream, _) = listener.accept().await.unwrap();
@@ -88,109 +89,140 @@
     }
 }
 
-struct StrangerCase {
+struct FakePeerCase {
     name: &'static str,
-    kind: Stranger,
-    alone: (u16, &'static str, &'static str),
+    kind: FakePeer,
+    expected: (u16, &'static str, &'static str),
 }
 
-/// The only node of a service is gone, breaks off, or is an impostor. What a
-/// caller is told decides whether it may send an order again.
+/// The only node of a service is gone, closes the connection, or is replaced by
+/// a fake peer. The reported outcome decides whether the caller may send an
+/// unrepeatable request again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_attempt_is_not_run_only_if_nothing_was_sent() {
     let cases = [
-        StrangerCase {
-            name: "nobody",
-            kind: Stranger::Nobody,
-            alone: (502, "not-run", "connection-lost"),
+        FakePeerCase {
+            name: "not listening",
+            kind: FakePeer::NotListening,
+            expected: (502, "not-run", "connection-lost"),
         },
-        StrangerCase {
-            name: "breaks",
-            kind: Stranger::Breaks,
-            alone: (502, "unknown", "connection-lost"),
+        FakePeerCase {
+            name: "closes the connection",
+            kind: FakePeer::ClosesConnection,
+            expected: (502, "unknown", "connection-lost"),
         },
-        StrangerCase {
-            name: "answers",
-            kind: Stranger::Answers,
-            alone: (502, "unknown", "bad-answer"),
+        FakePeerCase {
+            name: "responds without authentication",
+            kind: FakePeer::RespondsUnauthenticated,
+            expected: (502, "unknown", "bad-answer"),
         },
     ];
     for case in &cases {
         let mesh = Mesh::start(&["a"]).await;
-        mesh.add_stranger("stranger", "x", stranger(case.kind).await)
+        mesh.add_stranger("stranger", "x", start_fake_peer(case.kind).await)
             .await;
-        let seen = get(&mesh, "/x/once/echo").await;
-        assert_eq!(seen.summary(), case.alone, "{}: {}", case.name, seen.text());
-        assert!(!seen.text().contains("mine"));
+        let response = get(&mesh, "/x/once/echo").await;
+        assert_eq!(
+            response.summary(),
+            case.expected,
+            "{}: {}",
+            case.name,
+            response.text()
+        );
+        assert!(!response.text().contains("mine"));
     }
 }
 
-/// One of two nodes breaks off in the middle. Repeatable requests go to the
-/// other one; an order must not, since the first may have begun it.
+/// One of two nodes closes the connection during a request. Repeatable requests
+/// are retried on the other node; an unrepeatable one must not be, since the
+/// first node may have started it.
 #[tokio::test(flavor = "multi_thread")]
-async fn only_repeatable_requests_are_sent_again_after_a_break() {
-    for kind in [Stranger::Breaks, Stranger::Answers] {
+async fn only_repeatable_requests_are_retried_after_a_broken_connection() {
+    for kind in [
+        FakePeer::ClosesConnection,
+        FakePeer::RespondsUnauthenticated,
+    ] {
         let mesh = Mesh::start(&["a"]).await;
-        mesh.add_stranger("stranger", "a", stranger(kind).await)
+        mesh.add_stranger("stranger", "a", start_fake_peer(kind).await)
             .await;
         for _ in 0..CALL_COUNT {
-            let seen = get(&mesh, "/a/echo").await;
-            assert_eq!(seen.summary(), (200, "whole", ""), "{}", seen.text());
+            let response = get(&mesh, "/a/echo").await;
+            assert_eq!(
+                response.summary(),
+                (200, "whole", ""),
+                "{}",
+                response.text()
+            );
         }
-        // A fresh mesh: this one's router avoids the broken node by now.
+        // A new mesh, since this one's router already avoids the broken node.
         let mesh = Mesh::start(&["a"]).await;
-        mesh.add_stranger("stranger", "a", stranger(kind).await)
+        mesh.add_stranger("stranger", "a", start_fake_peer(kind).await)
             .await;
         let mut whole_count = 0;
         for _ in 0..CALL_COUNT {
-            let seen = get(&mesh, "/a/once/echo").await;
-            let (_, outcome, reason) = seen.summary();
+            let response = get(&mesh, "/a/once/echo").await;
+            let (_, outcome, reason) = response.summary();
             match outcome {
                 "whole" => whole_count += 1,
                 _ => assert!(outcome == "unknown", "{outcome} {reason}"),
             }
         }
         assert_eq!(mesh[0].target.executions().len(), whole_count);
-        assert!(whole_count < CALL_COUNT, "the stranger was never picked");
+        assert!(whole_count < CALL_COUNT, "the fake peer was never picked");
     }
 }
 
-/// An instance is gone for good and its address was given to one of another
-/// service, while others still know the old one there. The new target would run
-/// orders that were meant for a service that it knows nothing of.
+/// An instance is gone and its address was reassigned to an instance of another
+/// service, while nodes still route to the old one. The new target would execute
+/// requests that were sent to another service.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_gets_no_request_for_another_service() {
     let mesh = Mesh::start(&["a", "b"]).await;
     let peer = SocketAddr::new(mesh[1].node.settings.ip, mesh[1].node.settings.peer_port);
     mesh.add_stranger("gone", "x", peer).await;
     for path in ["/x/echo", "/x/once/echo"] {
-        let seen = get(&mesh, path).await;
-        let (status, outcome, reason) = seen.summary();
+        let response = get(&mesh, path).await;
+        let (status, outcome, reason) = response.summary();
         assert_eq!((status, outcome), (503, "not-run"), "{path}: {reason}");
     }
     assert!(mesh[1].target.executions().is_empty());
 }
 
-/// A node that is gone but still known costs a retry, never an answer.
+/// A node that is gone but still a member: the request was not sent, so a retry
+/// on another node must succeed even if it is unrepeatable.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_that_never_left_is_sent_elsewhere() {
+async fn an_unsent_unrepeatable_request_is_retried_on_another_node() {
     let mesh = Mesh::start(&["a"]).await;
-    mesh.add_stranger("stranger", "a", stranger(Stranger::Nobody).await)
-        .await;
+    mesh.add_stranger(
+        "stranger",
+        "a",
+        start_fake_peer(FakePeer::NotListening).await,
+    )
+    .await;
     for _ in 0..CALL_COUNT {
-        let seen = get(&mesh, "/a/once/echo").await;
-        assert_eq!(seen.summary(), (200, "whole", ""), "{}", seen.text());
+        let response = get(&mesh, "/a/once/echo").await;
+        assert_eq!(
+            response.summary(),
+            (200, "whole", ""),
+            "{}",
+            response.text()
+        );
     }
     assert_eq!(mesh[0].target.executions().len(), CALL_COUNT);
 }
 
-/// The deepest service breaks every answer. Were each hop to retry by itself,
-/// a chain of four would send up to 64 requests where one was meant.
+/// The last service of a chain breaks every response. If each hop retried
+/// independently, a chain of four would send up to 64 requests instead of one.
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_of_a_chain_share_one_allotment() {
     let mesh = Mesh::start(&["a", "b", "c", "d"]).await;
-    let seen = get(&mesh, "/a/chain/b/c/d/cut/100").await;
-    assert_eq!(seen.header("dogwood-outcome"), "whole", "{}", seen.text());
+    let response = get(&mesh, "/a/chain/b/c/d/cut/100").await;
+    assert_eq!(
+        response.header("dogwood-outcome"),
+        "whole",
+        "{}",
+        response.text()
+    );
     let counts: Vec<usize> = (0..4)
         .map(|index| mesh[index].target.executions().len())
         .collect();
@@ -213,23 +245,23 @@
 }
 
 #[test]
-fn a_context_comes_back_as_it_was() {
+fn a_context_survives_encoding_and_decoding() {
     let names = Names::new();
     let context = context(&names);
     for body in [&b"body"[..], b""] {
-        let sent = ReceivedContext {
+        let attempt = AttemptContext {
             context,
             attempt_id: 42,
             is_guarded: true,
             content: ContentDigest::new(None, body),
         };
-        let value = encode_context(&sent, &names, unix_ms());
-        assert_eq!(decode_context(&value, &names, unix_ms()), Ok(sent));
+        let value = encode_context(&attempt, &names, unix_ms());
+        assert_eq!(decode_context(&value, &names, unix_ms()), Ok(attempt));
     }
 }
 
 #[test]
-fn any_changed_part_breaks_the_proof() {
+fn a_change_to_any_part_invalidates_the_proof() {
     let auth = FleetAuth::new("the-secret-of-the-fleet");
     let other = FleetAuth::new("the-secret-of-another-fleet");
     let parts: [&[u8]; 3] = [b"context", b"GET", b"/path"];
@@ -244,7 +276,7 @@
     for parts in changed {
         assert!(!auth.is_authentic(&proof, &parts), "{parts:?}");
     }
-    // A part of a proof, down to none, proves nothing.
+    // A truncated proof, down to the empty one, is invalid.
     let text = proof.to_str().unwrap();
     for length in 0..text.len() {
         let part = HeaderValue::from_str(&text[..length]).unwrap();
@@ -255,49 +287,49 @@
     }
 }
 
-/// Headers between nodes come over the network; whatever they hold, a node
-/// must refuse them and go on.
+/// Headers between nodes come from the network: a node must reject malformed
+/// ones without a panic, whatever their bytes.
 #[test]
-fn no_bytes_in_a_context_header_bring_a_node_down() {
+fn decoding_arbitrary_header_bytes_does_not_panic() {
     let names = Names::new();
-    generated::for_each_case(GENERATED_COUNT, |bytes: Vec<u8>| {
+    generated::for_each_case(GENERATED_CASE_COUNT, |bytes: Vec<u8>| {
         let text: Vec<u8> = bytes.iter().map(|byte| 33 + byte % 90).collect();
         let value = HeaderValue::from_bytes(&text).unwrap();
         let _ = decode_context(&value, &names, unix_ms());
-        let _ = dogwoodbridge::peer::decode_answer(&value);
+        let _ = dogwoodbridge::peer::decode_response_metadata(&value);
     });
 }
 
-/// A process started while its instance's clock was forty minutes off. Judged by
-/// its stamps, all that it sends looks recorded long ago, and no request would
-/// pass between it and the others until it is restarted.
+/// A process started while its instance's clock was forty minutes off. By its
+/// timestamps all its requests look replayed, and peers would refuse them until
+/// it is restarted. It must use the clock that the peer reported instead.
 #[test]
-fn a_node_whose_clock_differs_is_told_the_others() {
-    const OWN_UNIX_MS: u64 = 1_800_000_000_000;
+fn contexts_are_accepted_after_a_peer_reported_its_clock() {
+    const LOCAL_UNIX_MS: u64 = 1_800_000_000_000;
     for offset_ms in [-2_400_000_i64, -31_000, 31_000, 2_400_000] {
-        let their_unix_ms = OWN_UNIX_MS.saturating_add_signed(offset_ms);
+        let peer_unix_ms = LOCAL_UNIX_MS.saturating_add_signed(offset_ms);
         let address = "127.0.0.1:1".parse().unwrap();
         let link = PeerLink::new(std::net::Ipv4Addr::LOCALHOST.into(), address);
         let names = Names::new();
-        let sent = ReceivedContext {
+        let attempt = AttemptContext {
             context: context(&names),
             attempt_id: 43,
             is_guarded: false,
             content: ContentDigest::new(None, b"body"),
         };
-        let stamp = |own_unix_ms| link.their_unix_ms(own_unix_ms);
-        let value = encode_context(&sent, &names, stamp(OWN_UNIX_MS));
+        let timestamp = |local_unix_ms| link.peer_unix_ms(local_unix_ms);
+        let value = encode_context(&attempt, &names, timestamp(LOCAL_UNIX_MS));
         assert_eq!(
-            decode_context(&value, &names, their_unix_ms),
-            Err(PeerHeaderError::TooOld {
-                attempt_id: sent.attempt_id
+            decode_context(&value, &names, peer_unix_ms),
+            Err(PeerHeaderError::TimestampOutOfRange {
+                attempt_id: attempt.attempt_id
             })
         );
-        link.record_clock(their_unix_ms, OWN_UNIX_MS);
-        let value = encode_context(&sent, &names, stamp(OWN_UNIX_MS + 5000));
+        link.record_clock(peer_unix_ms, LOCAL_UNIX_MS);
+        let value = encode_context(&attempt, &names, timestamp(LOCAL_UNIX_MS + 5000));
         assert_eq!(
-            decode_context(&value, &names, their_unix_ms + 5000),
-            Ok(sent)
+            decode_context(&value, &names, peer_unix_ms + 5000),
+            Ok(attempt)
         );
     }
 }
