--- a/src/rpc/auth.rs
+++ b/src/rpc/auth.rs
@@ -1,15 +1,15 @@
-//! Proof that a peer holds the fleet secret.
+//! Mutual authentication of connections with the fleet secret.
 
 use {
     hmac::{Hmac, Mac},
     sha2::Sha256,
 };
 
-/// Bytes of a nonce.
+/// Length of a nonce.
 pub const NONCE_BYTES: usize = 16;
 
-/// Who proves. A proof of one side is no proof of the other, so it cannot be
-/// sent back to its maker.
+/// Side that makes a proof. The proofs of the two sides differ, so that one
+/// cannot be reflected to the side that made it.
 #[derives::key]
 pub enum Prover {
     /// The side that accepted the connection.
@@ -18,7 +18,7 @@
     Client,
 }
 
-/// Nonces of both sides of a connection.
+/// Nonces of the two sides of a connection.
 #[derives::key]
 pub struct Nonces {
     /// Chosen by the side that opened the connection.
@@ -27,31 +27,34 @@
     pub server: [u8; NONCE_BYTES],
 }
 
-/// Proves and checks with the fleet secret.
+/// Makes and verifies proofs with the fleet secret.
 #[derive(Clone)]
 pub struct FleetAuth {
     secret: String,
 }
 
 impl FleetAuth {
-    /// Uses this secret.
+    /// Creates it from the fleet secret.
     pub fn new(secret: &str) -> Self {
         Self {
             secret: secret.to_owned(),
         }
     }
 
-    /// The proof of one side for this connection.
+    /// Proof of this side for the connection with these nonces.
     pub fn proof(&self, prover: Prover, nonces: &Nonces) -> Vec<u8> {
-        self.mac(prover, nonces).finalize().into_bytes().to_vec()
+        self.compute_mac(prover, nonces)
+            .finalize()
+            .into_bytes()
+            .to_vec()
     }
 
-    /// Whether the proof is right; takes the same time wherever it differs.
+    /// Whether the proof is valid; compares in constant time.
     pub fn is_valid(&self, prover: Prover, nonces: &Nonces, proof: &[u8]) -> bool {
-        self.mac(prover, nonces).verify_slice(proof).is_ok()
+        self.compute_mac(prover, nonces).verify_slice(proof).is_ok()
     }
 
-    fn mac(&self, prover: Prover, nonces: &Nonces) -> Hmac<Sha256> {
+    fn compute_mac(&self, prover: Prover, nonces: &Nonces) -> Hmac<Sha256> {
         let mut mac = Hmac::<Sha256>::new_from_slice(self.secret.as_bytes())
             .expect("a key of any length is valid");
         let label: &[u8] = match prover {
@@ -65,7 +68,7 @@
     }
 }
 
-/// A nonce that was never used before.
+/// Creates a random nonce that no connection has used before.
 pub fn new_nonce() -> [u8; NONCE_BYTES] {
     rand::random()
 }
--- a/src/rpc/client.rs
+++ b/src/rpc/client.rs
@@ -1,4 +1,4 @@
-//! The `Send` side of calls to other nodes.
+//! RPC client: queues calls for the RPC thread and returns their responses.
 
 use {
     super::counters::RpcCounters,
@@ -12,51 +12,51 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Calls that may wait for the thread; beyond it callers wait themselves.
-const QUEUE_COUNT: usize = 1024;
+/// Calls queued for the RPC thread; when the queue is full, callers wait.
+const CALL_QUEUE_CAPACITY: usize = 1024;
 
-/// Why a call to another node has no answer.
+/// Why a call to another node failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RpcError {
-    /// No connection could be made.
+    /// The connection could not be opened.
     #[error("cannot connect to {address}: {cause}")]
     Unreachable {
         /// The node's address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         cause: String,
     },
-    /// The peer does not hold the fleet secret.
-    #[error("{address} does not hold the fleet secret")]
+    /// Mutual authentication failed.
+    #[error("authentication with {address} failed: both nodes need the same fleet secret")]
     NotAuthentic {
         /// The node's address.
         address: SocketAddr,
     },
-    /// The connection broke or the peer answered with an error.
+    /// The connection broke or the peer returned an error.
     #[error("call to {address} failed: {cause}")]
     Failed {
         /// The node's address.
         address: SocketAddr,
-        /// What capnp-rpc said.
+        /// Error of capnp-rpc.
         cause: String,
     },
-    /// No answer came in time.
-    #[error("no answer from {address} within {limit_ms} ms")]
+    /// No response arrived in time.
+    #[error("no response from {address} within {limit_ms} ms")]
     TimedOut {
         /// The node's address.
         address: SocketAddr,
         /// The time limit.
         limit_ms: u64,
     },
-    /// The thread has ended with the process.
+    /// The RPC thread has stopped because the process is shutting down.
     #[error("the node is shutting down")]
     Stopped,
 }
 
-/// Answer of a call, or why there is none.
+/// Sends the response of a call, or its error, to the caller.
 pub(super) type Reply<T> = oneshot::Sender<Result<T, RpcError>>;
 
-/// Call to be made by the thread.
+/// Call to be made by the RPC thread.
 pub(super) enum Command {
     Document {
         kind: DocumentKind,
@@ -64,11 +64,11 @@
         reply: Reply<Option<Document>>,
     },
     Lease {
-        ask: LeaseRequest,
+        request: LeaseRequest,
         reply: Reply<LeaseResponse>,
     },
     Borrow {
-        ask: BorrowRequest,
+        request: BorrowRequest,
         reply: Reply<BorrowResponse>,
     },
     TakeOver {
@@ -81,45 +81,45 @@
     },
 }
 
-/// A call with where it goes.
+/// A call and the address of its receiver.
 pub(super) struct Call {
     pub address: SocketAddr,
     pub command: Command,
 }
 
-/// Calls that wait for [`super::spawn`] to make them.
-pub struct Calls {
+/// Receiver of the queued calls, for [`super::spawn`].
+pub struct PendingCalls {
     pub(super) receiver: mpsc::Receiver<Call>,
     pub(super) counters: Arc<RpcCounters>,
 }
 
-/// Calls other nodes; clones share the connections.
+/// Makes calls to other nodes; clones share the connections.
 #[derive(Debug, Clone)]
 pub struct RpcClient {
     sender: mpsc::Sender<Call>,
     counters: Arc<RpcCounters>,
 }
 
-/// A client and the calls that it makes, to be served by [`super::spawn`].
+/// Creates a client and the queue of its calls, which [`super::spawn`] makes.
 #[must_use]
-pub fn channel() -> (RpcClient, Calls) {
-    let (sender, receiver) = mpsc::channel(QUEUE_COUNT);
+pub fn channel() -> (RpcClient, PendingCalls) {
+    let (sender, receiver) = mpsc::channel(CALL_QUEUE_CAPACITY);
     let counters = Arc::new(RpcCounters::default());
     let client = RpcClient {
         sender,
         counters: counters.clone(),
     };
-    (client, Calls { receiver, counters })
+    (client, PendingCalls { receiver, counters })
 }
 
 impl RpcClient {
-    /// Calls made so far.
+    /// Counters of the calls made so far.
     #[must_use]
     pub fn counters(&self) -> &RpcCounters {
         &self.counters
     }
 
-    /// A neighbour's document, if it holds a version above the given one.
+    /// Fetches a document, if the peer holds a version above `above_version`.
     pub async fn fetch_document(
         &self,
         address: SocketAddr,
@@ -134,28 +134,28 @@
         self.call(address, command).await
     }
 
-    /// Asks an owner for its share of a workspace.
+    /// Requests a lease of an owner's share of a workspace.
     pub async fn lease(
         &self,
         address: SocketAddr,
-        ask: LeaseRequest,
+        request: LeaseRequest,
     ) -> Result<LeaseResponse, RpcError> {
-        self.call(address, |reply| Command::Lease { ask, reply })
+        self.call(address, |reply| Command::Lease { request, reply })
             .await
     }
 
-    /// Asks a bank for tokens.
+    /// Requests tokens from a workspace's pool node.
     pub async fn borrow(
         &self,
         address: SocketAddr,
-        ask: BorrowRequest,
+        request: BorrowRequest,
     ) -> Result<BorrowResponse, RpcError> {
-        self.call(address, |reply| Command::Borrow { ask, reply })
+        self.call(address, |reply| Command::Borrow { request, reply })
             .await
     }
 
-    /// Asks the earlier bank of a workspace to hand over; `None` when it takes
-    /// itself for the bank.
+    /// Requests the handover of a token pool from the workspace's previous pool
+    /// node; `None` if that node considers itself the current one.
     pub async fn take_over(
         &self,
         address: SocketAddr,
@@ -165,7 +165,8 @@
         self.call(address, command).await
     }
 
-    /// Gives a slice's keys to its next home; whether it took them.
+    /// Hands a slice's idempotency keys over to its next home; returns whether
+    /// they were accepted.
     pub async fn hand_over(
         &self,
         address: SocketAddr,
@@ -180,11 +181,11 @@
         address: SocketAddr,
         command: impl FnOnce(Reply<T>) -> Command,
     ) -> Result<T, RpcError> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let command = command(reply);
         let call = Call { address, command };
-        let sent = self.sender.send(call).await;
-        sent.map_err(|_| RpcError::Stopped)?;
-        answer.await.map_err(|_| RpcError::Stopped)?
+        let send_result = self.sender.send(call).await;
+        send_result.map_err(|_| RpcError::Stopped)?;
+        response.await.map_err(|_| RpcError::Stopped)?
     }
 }
--- a/src/rpc/codec.rs
+++ b/src/rpc/codec.rs
@@ -1,4 +1,6 @@
-//! Between the generated types and the typed messages.
+//! Converts between the generated Cap'n Proto types and the messages of the
+//! modules. The wire names `bank`, `ask`, `estate` and `loan` stand for token
+//! pool, request, pool handover and token batch.
 
 use {
     crate::{
@@ -18,8 +20,8 @@
     Ok(reader.to_str()?.to_owned())
 }
 
-// Keys are local to a process and names travel. A name of a workspace that
-// this node does not know yet is added: peers are authenticated.
+// A `WorkspaceKey` is local to a process, so messages carry names. An unknown
+// name is added to the table, since peers are authenticated.
 pub fn workspace(names: &Names, name: capnp::text::Reader<'_>) -> Result<WorkspaceKey, Error> {
     Ok(names.workspace(name.to_str()?))
 }
@@ -36,58 +38,61 @@
     builder.set_started_unix_ms(process.started_unix_ms);
 }
 
-fn read_bank(reader: wire::bank::Reader<'_>) -> Result<PoolRef, Error> {
+fn read_pool_ref(reader: wire::bank::Reader<'_>) -> Result<PoolRef, Error> {
     Ok(PoolRef {
         node_id: text(reader.get_node_id()?)?,
         bank_id: reader.get_bank_id(),
     })
 }
 
-fn write_bank(bank: &PoolRef, mut builder: wire::bank::Builder<'_>) {
-    builder.set_node_id(&bank.node_id);
-    builder.set_bank_id(bank.bank_id);
+fn write_pool_ref(pool: &PoolRef, mut builder: wire::bank::Builder<'_>) {
+    builder.set_node_id(&pool.node_id);
+    builder.set_bank_id(pool.bank_id);
 }
 
-pub fn read_lease_ask(
+pub fn read_lease_request(
     names: &Names,
     reader: wire::lease_ask::Reader<'_>,
 ) -> Result<LeaseRequest, Error> {
     Ok(LeaseRequest {
         workspace: workspace(names, reader.get_workspace()?)?,
-        bank: read_bank(reader.get_bank()?)?,
+        bank: read_pool_ref(reader.get_bank()?)?,
         predecessor_id: reader.get_predecessor_id(),
     })
 }
 
-pub fn write_lease_ask(
+pub fn write_lease_request(
     names: &Names,
-    ask: &LeaseRequest,
+    request: &LeaseRequest,
     mut builder: wire::lease_ask::Builder<'_>,
 ) {
-    builder.set_workspace(names.workspace_name(ask.workspace));
-    builder.set_predecessor_id(ask.predecessor_id);
-    write_bank(&ask.bank, builder.init_bank());
+    builder.set_workspace(names.workspace_name(request.workspace));
+    builder.set_predecessor_id(request.predecessor_id);
+    write_pool_ref(&request.bank, builder.init_bank());
 }
 
-pub fn read_lease_answer(reader: wire::lease_answer::Reader<'_>) -> Result<LeaseResponse, Error> {
+pub fn read_lease_response(reader: wire::lease_answer::Reader<'_>) -> Result<LeaseResponse, Error> {
     Ok(LeaseResponse {
         slice_count: reader.get_slice_count(),
         level: reader.get_level(),
         ttl_ms: reader.get_ttl_ms(),
         busy_ms: reader.get_busy_ms(),
-        holder: read_bank(reader.get_holder()?)?,
+        holder: read_pool_ref(reader.get_holder()?)?,
     })
 }
 
-pub fn write_lease_answer(answer: &LeaseResponse, mut builder: wire::lease_answer::Builder<'_>) {
-    builder.set_slice_count(answer.slice_count);
-    builder.set_level(answer.level);
-    builder.set_ttl_ms(answer.ttl_ms);
-    builder.set_busy_ms(answer.busy_ms);
-    write_bank(&answer.holder, builder.init_holder());
+pub fn write_lease_response(
+    response: &LeaseResponse,
+    mut builder: wire::lease_answer::Builder<'_>,
+) {
+    builder.set_slice_count(response.slice_count);
+    builder.set_level(response.level);
+    builder.set_ttl_ms(response.ttl_ms);
+    builder.set_busy_ms(response.busy_ms);
+    write_pool_ref(&response.holder, builder.init_holder());
 }
 
-pub fn read_estate(reader: wire::estate::Reader<'_>) -> Result<PoolHandover, Error> {
+pub fn read_pool_handover(reader: wire::estate::Reader<'_>) -> Result<PoolHandover, Error> {
     let leases = reader.get_leases()?.iter().map(|lease| {
         Ok(HandedOverLease {
             owner: text(lease.get_owner()?)?,
@@ -103,11 +108,11 @@
     })
 }
 
-pub fn write_estate(estate: &PoolHandover, mut builder: wire::estate::Builder<'_>) {
-    builder.set_level(estate.level);
-    builder.set_lent_count(estate.lent_count);
-    let mut leases = builder.init_leases(list_length(&estate.leases));
-    for (index, lease) in (0..).zip(&estate.leases) {
+pub fn write_pool_handover(handover: &PoolHandover, mut builder: wire::estate::Builder<'_>) {
+    builder.set_level(handover.level);
+    builder.set_lent_count(handover.lent_count);
+    let mut leases = builder.init_leases(list_length(&handover.leases));
+    for (index, lease) in (0..).zip(&handover.leases) {
         let mut builder = leases.reborrow().get(index);
         builder.set_owner(&lease.owner);
         builder.set_holder_id(lease.holder_id);
@@ -116,7 +121,7 @@
     }
 }
 
-pub fn read_borrow_ask(
+pub fn read_borrow_request(
     names: &Names,
     reader: wire::borrow_ask::Reader<'_>,
 ) -> Result<BorrowRequest, Error> {
@@ -132,22 +137,22 @@
     })
 }
 
-pub fn write_borrow_ask(
+pub fn write_borrow_request(
     names: &Names,
-    ask: &BorrowRequest,
+    request: &BorrowRequest,
     mut builder: wire::borrow_ask::Builder<'_>,
 ) {
-    builder.set_workspace(names.workspace_name(ask.workspace));
-    builder.set_bank_id(ask.bank_id);
-    builder.set_last_loan(ask.last_loan);
-    builder.set_held_count(ask.held_count);
-    builder.set_returned_count(ask.returned_count);
-    builder.set_need_count(ask.need_count);
-    builder.set_extra_count(ask.extra_count);
-    write_process(&ask.borrower, builder.init_borrower());
+    builder.set_workspace(names.workspace_name(request.workspace));
+    builder.set_bank_id(request.bank_id);
+    builder.set_last_loan(request.last_loan);
+    builder.set_held_count(request.held_count);
+    builder.set_returned_count(request.returned_count);
+    builder.set_need_count(request.need_count);
+    builder.set_extra_count(request.extra_count);
+    write_process(&request.borrower, builder.init_borrower());
 }
 
-pub fn read_borrow_answer(reader: wire::borrow_answer::Reader<'_>) -> BorrowResponse {
+pub fn read_borrow_response(reader: wire::borrow_answer::Reader<'_>) -> BorrowResponse {
     BorrowResponse {
         bank_id: reader.get_bank_id(),
         loan: reader.get_loan(),
@@ -157,12 +162,15 @@
     }
 }
 
-pub fn write_borrow_answer(answer: BorrowResponse, mut builder: wire::borrow_answer::Builder<'_>) {
-    builder.set_bank_id(answer.bank_id);
-    builder.set_loan(answer.loan);
-    builder.set_granted_count(answer.granted_count);
-    builder.set_ttl_ms(answer.ttl_ms);
-    builder.set_empty_for_ms(answer.empty_for_ms);
+pub fn write_borrow_response(
+    response: BorrowResponse,
+    mut builder: wire::borrow_answer::Builder<'_>,
+) {
+    builder.set_bank_id(response.bank_id);
+    builder.set_loan(response.loan);
+    builder.set_granted_count(response.granted_count);
+    builder.set_ttl_ms(response.ttl_ms);
+    builder.set_empty_for_ms(response.empty_for_ms);
 }
 
 pub fn read_handover(names: &Names, reader: wire::handover::Reader<'_>) -> Result<Handover, Error> {
@@ -190,7 +198,7 @@
 
 fn read_record(names: &Names, reader: wire::key_record::Reader<'_>) -> Result<SliceRecord, Error> {
     let key_hash = <[u8; 16]>::try_from(reader.get_key_hash()?)
-        .map_err(|_| Error::failed("a key hash has 16 bytes".to_owned()))?;
+        .map_err(|_| Error::failed("key hash is not 16 bytes long".to_owned()))?;
     let answer = match reader.get_status() {
         0 => None,
         status => Some(StoredAnswer {
@@ -223,7 +231,7 @@
     mut builder: wire::handover::Builder<'_>,
 ) {
     let export = &handover.export;
-    let index = u16::try_from(export.slice.index()).expect("slices fit into 16 bits");
+    let index = u16::try_from(export.slice.index()).expect("slice indices fit into 16 bits");
     builder.set_slice(index);
     builder.set_since_version(export.history.since_version);
     builder.set_known_since_unix_ms(export.history.known_since_unix_ms);
--- a/src/rpc/connection.rs
+++ b/src/rpc/connection.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections and the calls over them.
+//! Outgoing RPC connections and the calls made over them.
 
 use {
     super::{
@@ -6,7 +6,7 @@
         auth::{FleetAuth, NONCE_BYTES, Nonces, Prover, new_nonce},
         client::{Call, Command, Reply},
         codec,
-        thread::{CALL_LIMIT_MS, receive_options},
+        thread::{CALL_TIMEOUT_MS, receive_options},
     },
     crate::{
         documents::{Document, DocumentKind},
@@ -31,30 +31,35 @@
     tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt},
 };
 
-type Slot = Rc<OnceCell<node::Client>>;
+type NodeClientCell = Rc<OnceCell<node::Client>>;
 
-/// Connections to other nodes, one for each address.
+/// Connections to other nodes, one per address.
 pub struct Connections {
-    own_ip: IpAddr,
+    local_ip: IpAddr,
     auth: FleetAuth,
     names: Names,
     counters: Arc<RpcCounters>,
-    slots: RefCell<HashMap<SocketAddr, Slot>>,
+    clients: RefCell<HashMap<SocketAddr, NodeClientCell>>,
 }
 
 impl Connections {
-    pub fn new(own_ip: IpAddr, auth: FleetAuth, names: Names, counters: Arc<RpcCounters>) -> Self {
+    pub fn new(
+        local_ip: IpAddr,
+        auth: FleetAuth,
+        names: Names,
+        counters: Arc<RpcCounters>,
+    ) -> Self {
         Self {
-            own_ip,
+            local_ip,
             auth,
             names,
             counters,
-            slots: RefCell::new(HashMap::new()),
+            clients: RefCell::new(HashMap::new()),
         }
     }
 
-    /// Makes one call and sends its answer on.
-    pub async fn serve(&self, call: Call) {
+    /// Makes a call and sends its result to the caller.
+    pub async fn execute(&self, call: Call) {
         let address = call.address;
         match call.command {
             Command::Document {
@@ -63,65 +68,70 @@
                 reply,
             } => {
                 let document = |node| self.document(node, kind, above_version);
-                self.answer(address, reply, document).await;
+                self.call_with_timeout(address, reply, document).await;
             }
-            Command::Lease { ask, reply } => {
-                self.answer(address, reply, |node| self.lease(node, ask))
+            Command::Lease { request, reply } => {
+                self.call_with_timeout(address, reply, |node| self.lease(node, request))
                     .await;
             }
-            Command::Borrow { ask, reply } => {
-                self.answer(address, reply, |node| self.borrow(node, ask))
+            Command::Borrow { request, reply } => {
+                self.call_with_timeout(address, reply, |node| self.borrow(node, request))
                     .await;
             }
             Command::TakeOver { workspace, reply } => {
-                self.answer(address, reply, |node| self.take_over(node, workspace))
+                self.call_with_timeout(address, reply, |node| self.take_over(node, workspace))
                     .await;
             }
             Command::HandOver { handover, reply } => {
-                self.answer(address, reply, |node| self.hand_over(node, handover))
+                self.call_with_timeout(address, reply, |node| self.hand_over(node, handover))
                     .await;
             }
         }
     }
 
-    async fn answer<T, F: Future<Output = Result<T, capnp::Error>>>(
+    async fn call_with_timeout<T, F: Future<Output = Result<T, capnp::Error>>>(
         &self,
         address: SocketAddr,
         reply: Reply<T>,
         call: impl FnOnce(node::Client) -> F,
     ) {
-        let slot = self.slots.borrow_mut().entry(address).or_default().clone();
-        let limit = Duration::from_millis(CALL_LIMIT_MS);
-        let result = tokio::time::timeout(limit, self.call(address, &slot, call)).await;
-        let limit_ms = CALL_LIMIT_MS;
+        let client_cell = self
+            .clients
+            .borrow_mut()
+            .entry(address)
+            .or_default()
+            .clone();
+        let limit = Duration::from_millis(CALL_TIMEOUT_MS);
+        let result = tokio::time::timeout(limit, self.call(address, &client_cell, call)).await;
+        let limit_ms = CALL_TIMEOUT_MS;
         let result = result.unwrap_or(Err(RpcError::TimedOut { address, limit_ms }));
         if result.is_err() {
-            self.forget(address, &slot);
+            self.discard(address, &client_cell);
         }
-        // The asker may have given up.
+        // The caller may have stopped waiting.
         let _ = reply.send(result);
     }
 
     async fn call<T, F: Future<Output = Result<T, capnp::Error>>>(
         &self,
         address: SocketAddr,
-        slot: &Slot,
+        client_cell: &NodeClientCell,
         call: impl FnOnce(node::Client) -> F,
     ) -> Result<T, RpcError> {
-        let node = slot.get_or_try_init(|| self.open(address)).await?;
+        let node = client_cell.get_or_try_init(|| self.open(address)).await?;
         let result = call(node.clone()).await;
-        result.map_err(|error| failed(address, &error))
+        result.map_err(|error| call_failed(address, &error))
     }
 
-    // A connection over which a call failed may be half open: the next call
-    // would wait for its whole time limit again. It is made anew instead.
-    fn forget(&self, address: SocketAddr, slot: &Slot) {
-        let mut slots = self.slots.borrow_mut();
-        if slots
+    // A connection over which a call failed may be half open, and the next call
+    // would run into its timeout too. A new connection is opened instead.
+    fn discard(&self, address: SocketAddr, client_cell: &NodeClientCell) {
+        let mut clients = self.clients.borrow_mut();
+        if clients
             .get(&address)
-            .is_some_and(|held| Rc::ptr_eq(held, slot))
+            .is_some_and(|current| Rc::ptr_eq(current, client_cell))
         {
-            slots.remove(&address);
+            clients.remove(&address);
         }
     }
 
@@ -141,10 +151,10 @@
         let mut system = RpcSystem::new(Box::new(network), None);
         let gate: gate::Client = system.bootstrap(Side::Server);
         tokio::task::spawn_local(async move {
-            // How it ended shows at the calls that were under way.
+            // Calls in progress return the error that ended the connection.
             let _ = system.await;
         });
-        self.enter(address, gate).await
+        self.authenticate(address, gate).await
     }
 
     async fn connect(&self, address: SocketAddr) -> std::io::Result<TcpStream> {
@@ -152,13 +162,13 @@
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
-        socket.bind(SocketAddr::new(self.own_ip, 0))?;
+        socket.bind(SocketAddr::new(self.local_ip, 0))?;
         let stream = socket.connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(stream)
     }
 
-    async fn enter(
+    async fn authenticate(
         &self,
         address: SocketAddr,
         gate: gate::Client,
@@ -167,10 +177,10 @@
         let mut request = gate.challenge_request();
         request.get().set_client_nonce(&client);
         let challenge = request.send().promise.await;
-        let challenge = challenge.map_err(|error| failed(address, &error))?;
+        let challenge = challenge.map_err(|error| call_failed(address, &error))?;
         let nonces = self
-            .check_server(client, &challenge)
-            .map_err(|error| failed(address, &error))?;
+            .verify_server(client, &challenge)
+            .map_err(|error| call_failed(address, &error))?;
         let nonces = nonces.ok_or(RpcError::NotAuthentic { address })?;
         let proof = self.auth.proof(Prover::Client, &nonces);
         let mut request = gate.enter_request();
@@ -180,7 +190,7 @@
         node.map_err(|_| RpcError::NotAuthentic { address })
     }
 
-    fn check_server(
+    fn verify_server(
         &self,
         client: [u8; NONCE_BYTES],
         challenge: &capnp::capability::Response<gate::challenge_results::Owned>,
@@ -202,14 +212,14 @@
         above_version: u64,
     ) -> Result<Option<Document>, capnp::Error> {
         let mut request = node.document_request();
-        let index = u8::try_from(kind.index()).expect("kinds are few");
+        let index = u8::try_from(kind.index()).expect("kinds fit into 8 bits");
         request.get().set_kind(index);
         request.get().set_above_version(above_version);
-        self.counters.call(CallKind::Document);
+        self.counters.record_call(CallKind::Document);
         let response = request.send().promise.await?;
         let response = response.get()?;
         self.counters
-            .words(CallKind::Document, response.total_size()?.word_count);
+            .record_words(CallKind::Document, response.total_size()?.word_count);
         if response.get_version() <= above_version {
             return Ok(None);
         }
@@ -223,33 +233,35 @@
     async fn lease(
         &self,
         node: node::Client,
-        ask: LeaseRequest,
+        lease_request: LeaseRequest,
     ) -> Result<LeaseResponse, capnp::Error> {
         let mut request = node.lease_request();
-        codec::write_lease_ask(&self.names, &ask, request.get().init_ask());
-        let asked = request.get().into_reader().total_size()?.word_count;
-        self.counters.call(CallKind::Lease);
+        codec::write_lease_request(&self.names, &lease_request, request.get().init_ask());
+        let request_words = request.get().into_reader().total_size()?.word_count;
+        self.counters.record_call(CallKind::Lease);
         let response = request.send().promise.await?;
         let response = response.get()?;
-        let answered = response.total_size()?.word_count;
-        self.counters.words(CallKind::Lease, asked + answered);
-        codec::read_lease_answer(response.get_answer()?)
+        let response_words = response.total_size()?.word_count;
+        self.counters
+            .record_words(CallKind::Lease, request_words + response_words);
+        codec::read_lease_response(response.get_answer()?)
     }
 
     async fn borrow(
         &self,
         node: node::Client,
-        ask: BorrowRequest,
+        borrow_request: BorrowRequest,
     ) -> Result<BorrowResponse, capnp::Error> {
         let mut request = node.borrow_request();
-        codec::write_borrow_ask(&self.names, &ask, request.get().init_ask());
-        let asked = request.get().into_reader().total_size()?.word_count;
-        self.counters.call(CallKind::Borrow);
+        codec::write_borrow_request(&self.names, &borrow_request, request.get().init_ask());
+        let request_words = request.get().into_reader().total_size()?.word_count;
+        self.counters.record_call(CallKind::Borrow);
         let response = request.send().promise.await?;
         let response = response.get()?;
-        let answered = response.total_size()?.word_count;
-        self.counters.words(CallKind::Borrow, asked + answered);
-        Ok(codec::read_borrow_answer(response.get_answer()?))
+        let response_words = response.total_size()?.word_count;
+        self.counters
+            .record_words(CallKind::Borrow, request_words + response_words);
+        Ok(codec::read_borrow_response(response.get_answer()?))
     }
 
     async fn take_over(
@@ -261,15 +273,16 @@
         request
             .get()
             .set_workspace(self.names.workspace_name(workspace));
-        self.counters.call(CallKind::TakeOver);
+        self.counters.record_call(CallKind::TakeOver);
         let response = request.send().promise.await?;
         let response = response.get()?;
-        let answered = response.total_size()?.word_count;
-        self.counters.words(CallKind::TakeOver, answered);
+        let response_words = response.total_size()?.word_count;
+        self.counters
+            .record_words(CallKind::TakeOver, response_words);
         if !response.get_retired() {
             return Ok(None);
         }
-        codec::read_estate(response.get_estate()?).map(Some)
+        codec::read_pool_handover(response.get_estate()?).map(Some)
     }
 
     async fn hand_over(
@@ -279,15 +292,16 @@
     ) -> Result<bool, capnp::Error> {
         let mut request = node.hand_over_request();
         codec::write_handover(&self.names, &handover, request.get().init_handover());
-        let asked = request.get().into_reader().total_size()?.word_count;
-        self.counters.call(CallKind::HandOver);
-        self.counters.words(CallKind::HandOver, asked);
+        let request_words = request.get().into_reader().total_size()?.word_count;
+        self.counters.record_call(CallKind::HandOver);
+        self.counters
+            .record_words(CallKind::HandOver, request_words);
         let response = request.send().promise.await?;
         Ok(response.get()?.get_accepted())
     }
 }
 
-fn failed(address: SocketAddr, error: &capnp::Error) -> RpcError {
+fn call_failed(address: SocketAddr, error: &capnp::Error) -> RpcError {
     RpcError::Failed {
         address,
         cause: error.to_string(),
--- a/src/rpc/counters.rs
+++ b/src/rpc/counters.rs
@@ -1,30 +1,30 @@
-//! Counters of control messages by kind.
+//! Counters of calls to other nodes, by kind.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Number of kinds, for tables indexed by kind.
+/// Length of tables indexed by kind.
 const CALL_KIND_COUNT: usize = 5;
 
-/// Bytes of a word in Cap'n Proto messages.
+/// Size of a Cap'n Proto word in bytes.
 const WORD_BYTES: u64 = 8;
 
-/// Kind of a call between nodes.
+/// Kind of call between nodes.
 #[derives::key]
 pub enum CallKind {
-    /// A document from a neighbour.
+    /// Fetches a document from a peer.
     Document = 0,
-    /// A bank asks an owner.
+    /// A pool node leases quota slices from their owner.
     Lease = 1,
-    /// A node asks a bank.
+    /// A node borrows tokens from a pool node.
     Borrow = 2,
-    /// Keys of a slice that moves.
+    /// Hands over the idempotency keys of a slice that moves.
     HandOver = 3,
-    /// A bank asks its predecessor.
+    /// A pool node takes over the token pool of its predecessor.
     TakeOver = 4,
 }
 
 impl CallKind {
-    /// All kinds in the order of their index.
+    /// All kinds in order of their index.
     pub const ALL: [Self; CALL_KIND_COUNT] = [
         Self::Document,
         Self::Lease,
@@ -46,16 +46,16 @@
     }
 }
 
-/// Calls of a kind that this node has begun.
+/// Calls of a kind that this node has started.
 #[derives::key]
 pub struct CallCount {
-    /// Calls.
+    /// Number of calls.
     pub call_count: u64,
-    /// Bytes of requests and answers, without framing.
+    /// Bytes of requests and responses, without framing.
     pub byte_count: u64,
 }
 
-/// Calls that this node has begun, by kind.
+/// Counters of the calls that this node has started, by kind.
 #[derive(Debug, Default)]
 pub struct RpcCounters {
     calls: [AtomicU64; CALL_KIND_COUNT],
@@ -63,7 +63,7 @@
 }
 
 impl RpcCounters {
-    /// Counts so far.
+    /// Counters of a kind.
     #[must_use]
     pub fn of(&self, kind: CallKind) -> CallCount {
         CallCount {
@@ -72,11 +72,11 @@
         }
     }
 
-    pub(super) fn call(&self, kind: CallKind) {
+    pub(super) fn record_call(&self, kind: CallKind) {
         self.calls[kind as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(super) fn words(&self, kind: CallKind, word_count: u64) {
+    pub(super) fn record_words(&self, kind: CallKind, word_count: u64) {
         self.bytes[kind as usize].fetch_add(word_count * WORD_BYTES, Ordering::Relaxed);
     }
 }
--- a/src/rpc/handlers.rs
+++ b/src/rpc/handlers.rs
@@ -1,4 +1,4 @@
-//! What a node answers, put together from its parts.
+//! Handles the calls of other nodes with the modules of a node.
 
 use {
     super::Handlers,
@@ -13,13 +13,13 @@
     std::sync::Arc,
 };
 
-/// Holds the documents of this node.
+/// Source of the documents that this node holds.
 pub trait DocumentSource: Send + Sync + 'static {
-    /// The document, if its version is above the given one.
+    /// The document, if its version is above `above_version`.
     fn document(&self, kind: DocumentKind, above_version: u64) -> Option<Document>;
 }
 
-/// Answers of a whole node.
+/// Handlers for all calls to a node.
 pub struct NodeHandlers<D> {
     documents: D,
     quota: LeasedQuota,
@@ -27,7 +27,7 @@
 }
 
 impl<D: DocumentSource> NodeHandlers<D> {
-    /// Answers from these parts.
+    /// Creates handlers that use these modules.
     #[must_use]
     pub const fn new(documents: D, quota: LeasedQuota, guard: Arc<GuardHome>) -> Self {
         Self {
@@ -43,12 +43,12 @@
         self.documents.document(kind, above_version)
     }
 
-    fn lease(&self, ask: LeaseRequest) -> LeaseResponse {
-        self.quota.lease(&ask)
+    fn lease(&self, request: LeaseRequest) -> LeaseResponse {
+        self.quota.lease(&request)
     }
 
-    async fn borrow(&self, ask: BorrowRequest) -> BorrowResponse {
-        self.quota.borrow(ask).await
+    async fn borrow(&self, request: BorrowRequest) -> BorrowResponse {
+        self.quota.borrow(request).await
     }
 
     fn take_over(&self, workspace: WorkspaceKey) -> Option<PoolHandover> {
--- a/src/rpc/mod.rs
+++ b/src/rpc/mod.rs
@@ -1,7 +1,7 @@
 //! Calls between nodes over capnp-rpc.
 //!
-//! capnp-rpc is not `Send`; it lives on a thread of its own. The rest of the
-//! process talks to it through [`RpcClient`] and answers through
+//! capnp-rpc is not `Send`, so it runs on a thread of its own. The rest of the
+//! process makes calls through [`RpcClient`] and serves them through
 //! [`Handlers`].
 
 mod auth;
@@ -30,24 +30,26 @@
     std::future::Future,
 };
 
-/// What a node answers to other nodes.
+/// Handles the calls of other nodes.
 ///
-/// All but `borrow` must not wait: they run on the thread that serves every
-/// connection.
+/// All but `borrow` must not block: they run on the thread that serves all
+/// connections.
 pub trait Handlers: Send + Sync + 'static {
-    /// The document that this node holds, if its version is above the given one.
+    /// The document that this node holds, if its version is above
+    /// `above_version`.
     fn document(&self, kind: DocumentKind, above_version: u64) -> Option<Document>;
 
-    /// Leases this node's share of a workspace to a bank.
-    fn lease(&self, ask: LeaseRequest) -> LeaseResponse;
+    /// Leases this node's share of a workspace to a token pool.
+    fn lease(&self, request: LeaseRequest) -> LeaseResponse;
 
-    /// Lends tokens as the bank of a workspace.
-    fn borrow(&self, ask: BorrowRequest) -> impl Future<Output = BorrowResponse> + Send;
+    /// Lends tokens from the workspace's token pool on this node.
+    fn borrow(&self, request: BorrowRequest) -> impl Future<Output = BorrowResponse> + Send;
 
-    /// Hands the bank of a workspace over to the asking node, unless this node
-    /// takes itself for the bank.
+    /// Hands the workspace's token pool over to the calling node; `None` if this
+    /// node considers itself the current pool node.
     fn take_over(&self, workspace: WorkspaceKey) -> Option<PoolHandover>;
 
-    /// Takes in keys of a slice that was given up for this node.
+    /// Takes over the idempotency keys of a slice that moved to this node;
+    /// returns whether they were accepted.
     fn hand_over(&self, handover: Handover) -> bool;
 }
--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -1,4 +1,4 @@
-//! What a node offers to the peer at the other end of a connection.
+//! Serves the RPC interface of a node to the peer of a connection.
 
 use {
     super::{
@@ -15,45 +15,47 @@
     std::{cell::Cell, rc::Rc, sync::Arc},
 };
 
-/// What all connections share.
-pub struct Shared<H> {
+/// State shared by all connections.
+pub struct ServerContext<H> {
     pub auth: FleetAuth,
     pub names: Names,
     pub handlers: Arc<H>,
 }
 
-/// Lets a peer in that proves to hold the fleet secret.
-pub struct Gate<H> {
-    shared: Rc<Shared<H>>,
+/// Gives access to a peer that proves that it holds the fleet secret.
+/// Implements the Cap'n Proto interface `Gate`.
+pub struct Authenticator<H> {
+    context: Rc<ServerContext<H>>,
     nonces: Cell<Option<Nonces>>,
-    entered: Rc<Cell<bool>>,
+    is_authenticated: Rc<Cell<bool>>,
 }
 
-impl<H> Gate<H> {
-    /// A gate for one connection; `entered` tells whether the peer got in.
-    pub fn new(shared: Rc<Shared<H>>, entered: Rc<Cell<bool>>) -> Self {
+impl<H> Authenticator<H> {
+    /// Creates the authenticator of a connection, which sets `is_authenticated`
+    /// once the peer is authenticated.
+    pub fn new(context: Rc<ServerContext<H>>, is_authenticated: Rc<Cell<bool>>) -> Self {
         Self {
-            shared,
+            context,
             nonces: Cell::new(None),
-            entered,
+            is_authenticated,
         }
     }
 }
 
-impl<H: Handlers> gate::Server for Gate<H> {
+impl<H: Handlers> gate::Server for Authenticator<H> {
     async fn challenge(
         self: Rc<Self>,
         params: gate::ChallengeParams,
         mut results: gate::ChallengeResults,
     ) -> Result<(), Error> {
         let client = <[u8; NONCE_BYTES]>::try_from(params.get()?.get_client_nonce()?)
-            .map_err(|_| Error::failed("a nonce has 16 bytes".to_owned()))?;
+            .map_err(|_| Error::failed("nonce is not 16 bytes long".to_owned()))?;
         let nonces = Nonces {
             client,
             server: new_nonce(),
         };
         self.nonces.set(Some(nonces));
-        let proof = self.shared.auth.proof(Prover::Server, &nonces);
+        let proof = self.context.auth.proof(Prover::Server, &nonces);
         results.get().set_server_nonce(&nonces.server);
         results.get().set_server_proof(&proof);
         Ok(())
@@ -64,28 +66,28 @@
         params: gate::EnterParams,
         mut results: gate::EnterResults,
     ) -> Result<(), Error> {
-        // Nonces are taken out: one guess for each challenge.
+        // Nonces are removed, so that a challenge permits only one attempt.
         let nonces = self.nonces.take();
         let proof = params.get()?.get_client_proof()?;
-        let is_valid = |nonces| self.shared.auth.is_valid(Prover::Client, nonces, proof);
+        let is_valid = |nonces| self.context.auth.is_valid(Prover::Client, nonces, proof);
         if !nonces.as_ref().is_some_and(is_valid) {
             return Err(Error::failed("not authentic".to_owned()));
         }
-        self.entered.set(true);
-        let node = Node {
-            shared: self.shared.clone(),
+        self.is_authenticated.set(true);
+        let node = NodeService {
+            context: self.context.clone(),
         };
         results.get().set_node(capnp_rpc::new_client(node));
         Ok(())
     }
 }
 
-/// Serves the calls of an authentic peer.
-struct Node<H> {
-    shared: Rc<Shared<H>>,
+/// Serves the calls of an authenticated peer.
+struct NodeService<H> {
+    context: Rc<ServerContext<H>>,
 }
 
-impl<H: Handlers> node::Server for Node<H> {
+impl<H: Handlers> node::Server for NodeService<H> {
     async fn document(
         self: Rc<Self>,
         params: node::DocumentParams,
@@ -94,8 +96,8 @@
         let params = params.get()?;
         let kinds = DocumentKind::ALL;
         let kind = kinds.get(usize::from(params.get_kind()));
-        let kind = kind.ok_or_else(|| Error::failed("unknown kind of document".to_owned()))?;
-        let handlers = &self.shared.handlers;
+        let kind = kind.ok_or_else(|| Error::failed("unknown document kind".to_owned()))?;
+        let handlers = &self.context.handlers;
         if let Some(document) = handlers.document(*kind, params.get_above_version()) {
             results.get().set_version(document.version);
             results.get().set_content(&document.content);
@@ -108,9 +110,9 @@
         params: node::LeaseParams,
         mut results: node::LeaseResults,
     ) -> Result<(), Error> {
-        let ask = codec::read_lease_ask(&self.shared.names, params.get()?.get_ask()?)?;
-        let answer = self.shared.handlers.lease(ask);
-        codec::write_lease_answer(&answer, results.get().init_answer());
+        let request = codec::read_lease_request(&self.context.names, params.get()?.get_ask()?)?;
+        let response = self.context.handlers.lease(request);
+        codec::write_lease_response(&response, results.get().init_answer());
         Ok(())
     }
 
@@ -119,9 +121,9 @@
         params: node::BorrowParams,
         mut results: node::BorrowResults,
     ) -> Result<(), Error> {
-        let ask = codec::read_borrow_ask(&self.shared.names, params.get()?.get_ask()?)?;
-        let answer = self.shared.handlers.borrow(ask).await;
-        codec::write_borrow_answer(answer, results.get().init_answer());
+        let request = codec::read_borrow_request(&self.context.names, params.get()?.get_ask()?)?;
+        let response = self.context.handlers.borrow(request).await;
+        codec::write_borrow_response(response, results.get().init_answer());
         Ok(())
     }
 
@@ -130,8 +132,8 @@
         params: node::HandOverParams,
         mut results: node::HandOverResults,
     ) -> Result<(), Error> {
-        let handover = codec::read_handover(&self.shared.names, params.get()?.get_handover()?)?;
-        let accepted = self.shared.handlers.hand_over(handover);
+        let handover = codec::read_handover(&self.context.names, params.get()?.get_handover()?)?;
+        let accepted = self.context.handlers.hand_over(handover);
         results.get().set_accepted(accepted);
         Ok(())
     }
@@ -142,10 +144,10 @@
         mut results: node::TakeOverResults,
     ) -> Result<(), Error> {
         let workspace = params.get()?.get_workspace()?;
-        let workspace = codec::workspace(&self.shared.names, workspace)?;
-        if let Some(estate) = self.shared.handlers.take_over(workspace) {
+        let workspace = codec::workspace(&self.context.names, workspace)?;
+        if let Some(handover) = self.context.handlers.take_over(workspace) {
             results.get().set_retired(true);
-            codec::write_estate(&estate, results.get().init_estate());
+            codec::write_pool_handover(&handover, results.get().init_estate());
         }
         Ok(())
     }
--- a/src/rpc/thread.rs
+++ b/src/rpc/thread.rs
@@ -1,12 +1,12 @@
-//! The thread on which capnp-rpc lives.
+//! The thread on which capnp-rpc runs.
 
 use {
     super::{
         Handlers,
         auth::FleetAuth,
-        client::Calls,
+        client::PendingCalls,
         connection::Connections,
-        server::{Gate, Shared},
+        server::{Authenticator, ServerContext},
     },
     crate::{model::Names, schema::rpc_capnp::gate, settings::Settings},
     capnp::message::ReaderOptions,
@@ -30,50 +30,52 @@
     },
 };
 
-/// Time limit of a call, connecting included.
-pub const CALL_LIMIT_MS: u64 = 1000;
+/// Timeout of a call, including the time to connect.
+pub const CALL_TIMEOUT_MS: u64 = 1000;
 
-/// Time that a peer has to show that it holds the fleet secret.
-const ENTER_LIMIT_MS: u64 = 2000;
+/// Time within which a peer must prove that it holds the fleet secret.
+const AUTHENTICATION_TIMEOUT_MS: u64 = 2000;
 
-/// Connections from other nodes at a time.
-const MAX_INCOMING_COUNT: usize = 4096;
+/// Maximum number of open connections from other nodes.
+const MAX_INCOMING_CONNECTION_COUNT: usize = 4096;
 
-/// Words of a message at most; documents of the platform are up to a megabyte.
+/// Maximum size of a message in Cap'n Proto words (4 MiB); platform documents
+/// are up to a megabyte.
 const MAX_MESSAGE_WORDS: usize = (4 << 20) / 8;
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE_MS: u64 = 10;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY_MS: u64 = 10;
 
-/// What the thread needs to know of its node.
+/// Configuration of the RPC thread.
 #[derive(Clone)]
 pub struct RpcConfig {
     listen: SocketAddr,
-    own_ip: IpAddr,
+    local_ip: IpAddr,
     auth: FleetAuth,
     names: Names,
 }
 
 impl RpcConfig {
-    /// From the settings of the node and its table of names.
+    /// Creates it from the node's settings and its table of names.
     #[must_use]
     pub fn new(settings: &Settings, names: Names) -> Self {
         Self {
             listen: SocketAddr::new(settings.ip, settings.rpc_port),
-            own_ip: settings.ip,
+            local_ip: settings.ip,
             auth: FleetAuth::new(&settings.fleet_secret),
             names,
         }
     }
 }
 
-/// Starts the thread: it listens, answers through `handlers` and makes the
-/// `calls` until `shutdown`.
+/// Starts the thread, which serves incoming calls through `handlers` and makes
+/// the outgoing `calls` until `shutdown`.
 ///
-/// Fails when the address is in use.
+/// # Errors
+/// If the address cannot be bound or the thread cannot be started.
 pub fn spawn<H: Handlers>(
     config: RpcConfig,
-    calls: Calls,
+    calls: PendingCalls,
     handlers: Arc<H>,
     shutdown: CancellationToken,
 ) -> io::Result<JoinHandle<()>> {
@@ -84,64 +86,65 @@
         .build()?;
     let thread = std::thread::Builder::new().name("rpc".to_owned());
     thread.spawn(move || {
-        let set = LocalSet::new();
-        let work = run(config, listener, calls, handlers, shutdown);
-        set.block_on(&runtime, work);
+        let local_tasks = LocalSet::new();
+        let server = run(config, listener, calls, handlers, shutdown);
+        local_tasks.block_on(&runtime, server);
     })
 }
 
 async fn run<H: Handlers>(
     config: RpcConfig,
     listener: std::net::TcpListener,
-    calls: Calls,
+    calls: PendingCalls,
     handlers: Arc<H>,
     shutdown: CancellationToken,
 ) {
     let listener = TcpListener::from_std(listener).expect("the runtime's driver is enabled");
-    let shared = Rc::new(Shared {
+    let context = Rc::new(ServerContext {
         auth: config.auth.clone(),
         names: config.names.clone(),
         handlers,
     });
     let counters = calls.counters.clone();
-    let connections = Connections::new(config.own_ip, config.auth, config.names, counters);
+    let connections = Connections::new(config.local_ip, config.auth, config.names, counters);
     tokio::select! {
         () = shutdown.cancelled() => {}
-        () = accept(listener, shared) => {}
+        () = accept(listener, context) => {}
         () = make_calls(calls, Rc::new(connections)) => {}
     }
 }
 
-async fn make_calls(mut calls: Calls, connections: Rc<Connections>) {
+async fn make_calls(mut calls: PendingCalls, connections: Rc<Connections>) {
     while let Some(call) = calls.receiver.recv().await {
         let connections = connections.clone();
-        tokio::task::spawn_local(async move { connections.serve(call).await });
+        tokio::task::spawn_local(async move { connections.execute(call).await });
     }
-    // Nobody calls any more; the node may still be asked.
+    // All clients are gone; incoming calls are still served.
     std::future::pending::<()>().await;
 }
 
-async fn accept<H: Handlers>(listener: TcpListener, shared: Rc<Shared<H>>) {
+async fn accept<H: Handlers>(listener: TcpListener, context: Rc<ServerContext<H>>) {
     let open_count = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors: without a pause the loop would spin.
-            tokio::time::sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await;
+            // Without a delay the loop would spin, e.g. when file descriptors
+            // are exhausted.
+            tokio::time::sleep(Duration::from_millis(ACCEPT_RETRY_DELAY_MS)).await;
             continue;
         };
-        if open_count.get() >= MAX_INCOMING_COUNT {
+        if open_count.get() >= MAX_INCOMING_CONNECTION_COUNT {
             continue;
         }
         open_count.set(open_count.get() + 1);
-        let (shared, open_count) = (shared.clone(), open_count.clone());
+        let (context, open_count) = (context.clone(), open_count.clone());
         tokio::task::spawn_local(async move {
-            serve(stream, shared).await;
+            serve(stream, context).await;
             open_count.set(open_count.get() - 1);
         });
     }
 }
 
-async fn serve<H: Handlers>(stream: TcpStream, shared: Rc<Shared<H>>) {
+async fn serve<H: Handlers>(stream: TcpStream, context: Rc<ServerContext<H>>) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
@@ -152,20 +155,21 @@
         Side::Server,
         receive_options(),
     );
-    let entered = Rc::new(Cell::new(false));
-    let gate: gate::Client = capnp_rpc::new_client(Gate::new(shared, entered.clone()));
+    let is_authenticated = Rc::new(Cell::new(false));
+    let gate: gate::Client =
+        capnp_rpc::new_client(Authenticator::new(context, is_authenticated.clone()));
     let system = RpcSystem::new(Box::new(network), Some(gate.client));
     tokio::select! {
         _ = system => {}
-        () = stays_outside(entered) => {}
+        () = wait_until_authentication_timeout(is_authenticated) => {}
     }
 }
 
-/// Ends when the peer has not shown the fleet secret in time; strangers would
-/// otherwise hold connections for as long as they like.
-async fn stays_outside(entered: Rc<Cell<bool>>) {
-    tokio::time::sleep(Duration::from_millis(ENTER_LIMIT_MS)).await;
-    if entered.get() {
+/// Returns if the peer has not authenticated in time; otherwise unauthenticated
+/// peers could hold connections open indefinitely.
+async fn wait_until_authentication_timeout(is_authenticated: Rc<Cell<bool>>) {
+    tokio::time::sleep(Duration::from_millis(AUTHENTICATION_TIMEOUT_MS)).await;
+    if is_authenticated.get() {
         std::future::pending::<()>().await;
     }
 }
