--- a/src/dialect/mod.rs
+++ b/src/dialect/mod.rs
@@ -1,15 +1,15 @@
-//! What callers and targets speak.
+//! Translates between the HTTP conventions of a deployment and the node's types.
 //!
-//! A node decides on decoded types. The dialect turns the headers, paths and
-//! statuses of a deployment into them and back, once at each edge, and decides
-//! nothing itself.
+//! A dialect converts the headers, paths and statuses that callers and targets
+//! use, once where a request enters the node and once where it leaves. It makes
+//! no decisions: those are made on the decoded types.
 
-mod asked;
+mod caller_request;
 mod native;
 mod target;
 
 pub use {
-    asked::{CallerRequest, Tenant},
+    caller_request::{CallerRequest, Tenant},
     native::Native,
     target::{Heartbeat, NoticeError, TargetCall, TargetNotice, TargetSignal, TargetState},
 };
@@ -26,37 +26,38 @@
     hyper::{HeaderMap, Method, Request, Response, body::Incoming, http::request::Parts},
 };
 
-/// Translates between HTTP as a deployment speaks it and the node's own types.
+/// Converts between the HTTP conventions of a deployment and the node's types.
 pub trait Dialect: Send + Sync + 'static {
-    /// Whether targets send their downstream calls to the port for callers,
-    /// like any caller, instead of to a port of their own with a handle.
+    /// Whether targets send their downstream calls to the caller port, like any
+    /// caller, instead of to the egress port with a call handle.
     const CALLS_LIKE_CALLERS: bool;
-    /// Whether targets work on just as many requests as they announce slots.
+    /// Whether a target processes exactly as many requests at a time as it
+    /// announces slots.
     const SLOTS_ARE_EXACT: bool;
 
-    /// Identity that the caller gave its request, readable also where the
-    /// request itself is not.
+    /// Request id set by the caller; available even if the rest of the request
+    /// is malformed.
     fn request_id(&self, headers: &HeaderMap) -> Option<RequestId>;
 
-    /// Reads what a caller asks for.
+    /// Decodes a caller's request.
     fn read_request(&self, running: &Running, head: &Parts) -> Result<CallerRequest, Rejection>;
 
-    /// Turns a caller's headers into those for the target: removes the key,
-    /// what only nodes may set and what concerns one connection; adds who
-    /// called.
+    /// Converts a caller's headers to those for the target: removes the tenant
+    /// key, headers that only nodes may set and hop-by-hop headers; adds the
+    /// identity of the caller.
     fn clean(&self, headers: &mut HeaderMap, workspace: Option<&str>);
 
-    /// Response for a caller from a target's answer.
+    /// Converts a target's response to the response for the caller.
     fn response(&self, answer: Answer) -> Response<AnswerBody>;
 
-    /// Response for a caller whose request is refused or given up; `detail`
-    /// says what is wrong with it.
+    /// Response for a caller whose request is refused or cancelled; `detail`
+    /// describes the cause.
     fn refusal(&self, refusal: Refusal, detail: &str, request: &HeaderMap) -> Response<AnswerBody>;
 
-    /// Completes a request for the target.
+    /// Adds the headers that the target needs to a request.
     fn address(&self, request: &mut Request<Full<Bytes>>, call: &TargetCall<'_>);
 
-    /// Tells what the head of an answer means for the request that was sent.
+    /// Interprets the head of a target's response to a request.
     fn judge(
         &self,
         method: &Method,
@@ -64,7 +65,7 @@
         response: &Response<Incoming>,
     ) -> TargetSignal;
 
-    /// Reads what the own target tells about itself.
+    /// Decodes a notice of the local target.
     fn read_notice(
         &self,
         method: &Method,
@@ -72,9 +73,9 @@
         body: &[u8],
     ) -> Result<TargetNotice, NoticeError>;
 
-    /// Response to a notice of the own target.
+    /// Response to a notice of the local target.
     fn notice_response(&self, result: Result<(), NoticeError>) -> Response<AnswerBody>;
 
-    /// Whether a request for this path asks if the node is ready.
+    /// Whether this is the path of the readiness check.
     fn asks_readiness(&self, path: &str) -> bool;
 }
--- a/src/dialect/native.rs
+++ b/src/dialect/native.rs
@@ -1,4 +1,5 @@
-//! The product's own headers, paths and statuses.
+//! The default dialect, with the headers, paths and statuses that dogwoodbridge
+//! defines.
 
 use {
     super::{
@@ -24,13 +25,13 @@
     sha2::{Digest, Sha256},
 };
 
-const KNOWN_NOTICES: &str = "POST /-/announce and POST /-/load";
+const SUPPORTED_NOTICES: &str = "POST /-/announce and POST /-/load";
 
-/// The dialect that the project defines itself.
+/// The default dialect.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Native;
 
-/// A target's announcement; repeated at least every few seconds.
+/// A target's announcement, repeated at least every few seconds.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct AnnounceBody {
@@ -40,11 +41,11 @@
     connections: u32,
     #[serde(default)]
     draining: bool,
-    /// Start of the target's process, where it tells; a new value means a
-    /// cold target.
+    /// Start time of the target's process, 0 if not reported; a new value means
+    /// that the target is cold.
     #[serde(default)]
     started_unix_ms: u64,
-    /// How much longer it stays cold.
+    /// Remaining time for which the target is cold.
     #[serde(default)]
     cold_left_ms: u64,
 }
@@ -65,17 +66,20 @@
     }
 
     fn read_request(&self, running: &Running, head: &Parts) -> Result<CallerRequest, Rejection> {
-        let tenant = tenant_of(running, &head.headers)?;
+        let tenant = authenticate_tenant(running, &head.headers)?;
         if head.method == Method::CONNECT {
             let refusal = Refusal::not_run(Reason::BadRequest);
-            return Err(Rejection::new(refusal, "the method CONNECT is not served"));
+            return Err(Rejection::new(
+                refusal,
+                "the method CONNECT is not supported",
+            ));
         }
         let (service, path) = split_path(running, &head.uri)?;
         let route = running
             .route(service, head.method.as_str(), path.path())
             .ok_or_else(|| Rejection::new(Refusal::not_run(Reason::NoRoute), "no route matches"))?;
         let route_ms = u64::from(route.deadline_ms);
-        let asked_ms = head
+        let requested_ms = head
             .headers
             .get(DEADLINE)
             .map(parse_deadline_ms)
@@ -91,7 +95,7 @@
             class: route.class,
             repeatable: route.repeatable,
             retry_limit: services.get(&service).map_or(0, |rules| rules.retry_limit),
-            deadline_ms: asked_ms.map_or(route_ms, |ms| ms.min(route_ms)),
+            deadline_ms: requested_ms.map_or(route_ms, |ms| ms.min(route_ms)),
             idempotency_key: check_idempotency_key(&head.headers)?,
         })
     }
@@ -111,7 +115,7 @@
     fn address(&self, request: &mut Request<Full<Bytes>>, call: &TargetCall<'_>) {
         let headers = request.headers_mut();
         headers.insert(HOST, HeaderValue::from_static("target"));
-        headers.insert(CALL, handle_value(call));
+        headers.insert(CALL, handle_header_value(call));
         headers.insert(DEADLINE, HeaderValue::from(call.remaining_ms));
     }
 
@@ -121,8 +125,8 @@
         call: &TargetCall<'_>,
         response: &Response<Incoming>,
     ) -> TargetSignal {
-        let is_own = response.headers().get(CALL) == Some(&handle_value(call));
-        let refusal = if is_own && has_end(method, response) {
+        let is_response_to_call = response.headers().get(CALL) == Some(&handle_header_value(call));
+        let refusal = if is_response_to_call && has_verifiable_end(method, response) {
             shed_refusal(response)
         } else {
             Some(Refusal::unknown(Reason::BadAnswer))
@@ -142,10 +146,10 @@
         body: &[u8],
     ) -> Result<TargetNotice, NoticeError> {
         match (method, path) {
-            (&Method::POST, "/-/announce") => announcement(serde_json::from_slice(body)?),
-            (&Method::POST, "/-/load") => load(&serde_json::from_slice(body)?),
+            (&Method::POST, "/-/announce") => read_announcement(serde_json::from_slice(body)?),
+            (&Method::POST, "/-/load") => read_load(&serde_json::from_slice(body)?),
             _ => Err(NoticeError::Path {
-                known: KNOWN_NOTICES.to_owned(),
+                known: SUPPORTED_NOTICES.to_owned(),
             }),
         }
     }
@@ -168,12 +172,12 @@
     }
 }
 
-fn handle_value(call: &TargetCall<'_>) -> HeaderValue {
+fn handle_header_value(call: &TargetCall<'_>) -> HeaderValue {
     HeaderValue::try_from(format!("{:032x}", call.handle)).expect("hex digits are visible")
 }
 
-/// Digest of the key that the request carries, and rules of its workspace.
-fn tenant_of(running: &Running, headers: &HeaderMap) -> Result<Tenant, Rejection> {
+/// The workspace whose tenant key the request carries.
+fn authenticate_tenant(running: &Running, headers: &HeaderMap) -> Result<Tenant, Rejection> {
     let reject = |reason, detail| Rejection::new(Refusal::not_run(reason), detail);
     let mut values = headers.get_all(KEY).iter();
     let Some(key) = values.next() else {
@@ -185,9 +189,8 @@
     if values.next().is_some() {
         return Err(reject(Reason::BadRequest, "dogwood-key must be given once"));
     }
-    // The table is searched by the key's digest. How long that takes tells at
-    // most about digests, which cannot be turned back into keys, so a search
-    // in constant time would protect nothing.
+    // The lookup is by the key's digest. Its duration can reveal only digests,
+    // from which keys cannot be derived, so constant time would protect nothing.
     let digest = KeyDigest(Sha256::digest(key.as_bytes()).into());
     let workspace = match running.key_state(&digest) {
         KeyState::Granted(workspace) => workspace,
@@ -203,8 +206,8 @@
         .ok_or_else(|| reject(Reason::UnknownKey, "the key's workspace is not configured"))
 }
 
-/// Whether the end of the answer can be told from a break.
-fn has_end(method: &Method, response: &Response<Incoming>) -> bool {
+/// Whether a complete response can be distinguished from a broken connection.
+fn has_verifiable_end(method: &Method, response: &Response<Incoming>) -> bool {
     response.body().is_end_stream()
         || method == Method::HEAD
         || response.headers().contains_key(CONTENT_LENGTH)
@@ -212,15 +215,14 @@
             && response.headers().contains_key(TRANSFER_ENCODING))
 }
 
-/// The refusal for an answer by which the target says that it shed the
-/// request untouched. Any other 429 or 503 is an answer like all others.
+/// The refusal if the response states that the target shed the request without
+/// running it. Any other 429 or 503 is an ordinary response.
 fn shed_refusal(response: &Response<Incoming>) -> Option<Refusal> {
-    let says_not_run =
-        response.headers().get(SHED)?.as_bytes() == Outcome::NotRun.name().as_bytes();
-    (is_shed(response.status()) && says_not_run).then_some(Refusal::not_run(Reason::Overloaded))
+    let is_not_run = response.headers().get(SHED)?.as_bytes() == Outcome::NotRun.name().as_bytes();
+    (is_shed(response.status()) && is_not_run).then_some(Refusal::not_run(Reason::Overloaded))
 }
 
-/// Whether the target shed load by its own account.
+/// Whether the status says that the target sheds load.
 const fn is_shed(status: StatusCode) -> bool {
     matches!(
         status,
@@ -228,14 +230,17 @@
     )
 }
 
-fn announcement(body: AnnounceBody) -> Result<TargetNotice, NoticeError> {
+fn read_announcement(body: AnnounceBody) -> Result<TargetNotice, NoticeError> {
     if body.slots == 0 || body.connections == 0 || body.port == 0 {
-        return Err(field("slots, connections and port", "must be at least 1"));
+        return Err(field_error(
+            "slots, connections and port",
+            "must be at least 1",
+        ));
     }
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     if body.service.is_empty() || !body.service.chars().all(is_allowed) {
         let expected = "must be a name of letters, digits, '-', '_' or '.'";
-        return Err(field("service", expected));
+        return Err(field_error("service", expected));
     }
     Ok(TargetNotice::Alive(Heartbeat {
         instance_id: String::new(),
@@ -253,16 +258,16 @@
     }))
 }
 
-fn load(body: &LoadBody) -> Result<TargetNotice, NoticeError> {
+fn read_load(body: &LoadBody) -> Result<TargetNotice, NoticeError> {
     if !(0.0..=1.0).contains(&body.busy_ratio) {
-        return Err(field("busy_ratio", "must lie between 0 and 1"));
+        return Err(field_error("busy_ratio", "must be between 0 and 1"));
     }
     Ok(TargetNotice::Load {
         busy_ratio: body.busy_ratio,
     })
 }
 
-fn field(name: &str, expected: &str) -> NoticeError {
+fn field_error(name: &str, expected: &str) -> NoticeError {
     NoticeError::Field {
         field: name.to_owned(),
         expected: expected.to_owned(),
--- a/src/dialect/target.rs
+++ b/src/dialect/target.rs
@@ -1,84 +1,84 @@
-//! What passes between a node and its own target, in the node's own terms.
+//! Messages between a node and its local target, decoded.
 
 use {crate::model::Refusal, hyper::HeaderMap, std::time::Duration};
 
-/// A request on its way to the own target.
+/// A request that is sent to the local target.
 #[derive(Debug, Clone, Copy)]
 pub struct TargetCall<'a> {
-    /// Names the call in the table of calls.
+    /// Id of the call in the table of calls in flight.
     pub handle: u128,
     /// Time until the deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// Process of the target that is meant; empty where targets have no
-    /// identity.
+    /// Id of the target process that must run the request; empty if targets have
+    /// no ids.
     pub instance_id: &'a str,
     /// Host that the caller addressed.
     pub host: Option<&'a str>,
-    /// Headers that the request carries besides.
+    /// The other headers of the request.
     pub sent: &'a HeaderMap,
 }
 
-/// What the head of a target's answer means.
+/// Meaning of the head of a target's response.
 #[derives::value]
 pub struct TargetSignal {
-    /// Set when the answer tells that the target did not run the request, or
-    /// cannot be believed to belong to it.
+    /// Set if the target reports that it did not run the request, or if the
+    /// response may belong to another request.
     pub refusal: Option<Refusal>,
-    /// The target sheds load by its own account.
+    /// Whether the target reports that it sheds load.
     pub is_shed: bool,
-    /// How long the target keeps the connection open while it is idle.
+    /// Time for which the target keeps an idle connection open.
     pub idle_limit: Option<Duration>,
-    /// Load that came with the answer, as a share of slots in use.
+    /// Share of slots in use as reported in the response, 0.0 to 1.0.
     pub busy_ratio: Option<f64>,
 }
 
-/// Whether a target takes work.
+/// Whether a target accepts requests.
 #[derives::key]
 pub enum TargetState {
-    /// It does.
+    /// It accepts requests.
     Ready,
-    /// It works on what it has and leaves.
+    /// It finishes the requests in progress and then exits.
     Draining,
 }
 
-/// A target's word that it lives; repeated every few seconds.
+/// A target's heartbeat, repeated every few seconds.
 #[derives::value]
 pub struct Heartbeat {
-    /// Names the process; empty where targets have no identity.
+    /// Id of the target process; empty if targets have no ids.
     pub instance_id: String,
-    /// Service that it serves.
+    /// Service of the target.
     pub service: String,
-    /// Port on the node's own address.
+    /// Port of the target on the node's address.
     pub port: u16,
-    /// Requests that it can work on at a time.
+    /// Maximum number of requests that the target processes at a time.
     pub slot_count: u32,
-    /// Connections that it accepts.
+    /// Maximum number of connections that the target accepts.
     pub connection_count: u32,
-    /// Whether it takes work.
+    /// Whether the target accepts requests.
     pub state: TargetState,
-    /// Start of its process, in milliseconds since the Unix epoch; 0 where it
-    /// does not tell.
+    /// Start time of the process in milliseconds since the Unix epoch; 0 if not
+    /// reported.
     pub started_unix_ms: u64,
-    /// Rises with each heartbeat of a process, so that a late one is noticed;
-    /// `None` where they come in order.
+    /// Increases with each heartbeat of a process, so that a delayed one is
+    /// detected; `None` if heartbeats arrive in order.
     pub sequence: Option<u64>,
-    /// How much longer it stays slow after its start.
+    /// Remaining time for which the target is cold, in milliseconds.
     pub cold_left_ms: u64,
 }
 
-/// What a target tells about itself.
+/// A notice that a target sends to its node.
 #[derives::value]
 pub enum TargetNotice {
-    /// It lives.
+    /// The target is alive.
     Alive(Heartbeat),
-    /// It leaves for good.
+    /// The target exits.
     Leaving {
-        /// Names the process.
+        /// Id of the target process.
         instance_id: String,
-        /// Start of its process, where it tells.
+        /// Start time of the process, if reported.
         started_unix_ms: Option<u64>,
     },
-    /// Its load.
+    /// The target's load.
     Load {
         /// Share of slots in use, 0.0 to 1.0.
         busy_ratio: f64,
@@ -88,30 +88,30 @@
 /// Why a notice is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum NoticeError {
-    /// It did not arrive whole.
+    /// The body is incomplete.
     #[error("the body could not be read: {0}")]
     Body(#[from] hyper::Error),
-    /// It is too large.
+    /// The body is too large.
     #[error("the body is larger than {limit_bytes} bytes")]
     TooLarge {
-        /// The limit.
+        /// Maximum size.
         limit_bytes: usize,
     },
-    /// It is not JSON of the expected form.
+    /// The body is not JSON of the expected form.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A field is missing or out of its range.
+    /// A field is missing or out of range.
     #[error("{field} {expected}")]
     Field {
         /// The field.
         field: String,
-        /// What would be right.
+        /// What is valid for the field.
         expected: String,
     },
-    /// No such notice is known.
-    #[error("only {known} are known")]
+    /// The method and path are not those of a notice.
+    #[error("unknown notice: expected one of {known}")]
     Path {
-        /// The known ones.
+        /// Methods and paths of the supported notices.
         known: String,
     },
 }
