--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -57,7 +57,7 @@
         }
         Err(_) => return refuse_forged(request.method()),
     };
-    let _in_flight = node.begin();
+    let _in_flight = node.begin_request();
     let method = request.method().clone();
     let (result, unspent) = match read_request(&node, request).await {
         Ok(outbound) if !matches_digest(&outbound, attempt.content) => {
@@ -104,7 +104,7 @@
     }
     let attempt = decode_context(context, &node.names, node.timer.steady_unix_ms())?;
     let is_first = node
-        .arrivals
+        .seen_attempts
         .record(attempt.attempt_id, node.timer.now_ms());
     match is_first {
         true => Ok(attempt),
--- a/src/rpc/codec.rs
+++ b/src/rpc/codec.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::{
-        guard::{GuardKey, Handover, History, SliceExport, SliceRecord, StoredAnswer},
+        guard::{GuardKey, Handover, SliceExport, SliceHistory, SliceRecord, StoredResponse},
         model::{Names, WorkspaceKey},
         quota::{
             BorrowRequest, BorrowResponse, HandedOverLease, LeaseRequest, LeaseResponse,
@@ -41,13 +41,13 @@
 fn read_pool_ref(reader: wire::bank::Reader<'_>) -> Result<PoolRef, Error> {
     Ok(PoolRef {
         node_id: text(reader.get_node_id()?)?,
-        bank_id: reader.get_bank_id(),
+        pool_id: reader.get_bank_id(),
     })
 }
 
 fn write_pool_ref(pool: &PoolRef, mut builder: wire::bank::Builder<'_>) {
     builder.set_node_id(&pool.node_id);
-    builder.set_bank_id(pool.bank_id);
+    builder.set_bank_id(pool.pool_id);
 }
 
 pub fn read_lease_request(
@@ -56,7 +56,7 @@
 ) -> Result<LeaseRequest, Error> {
     Ok(LeaseRequest {
         workspace: workspace(names, reader.get_workspace()?)?,
-        bank: read_pool_ref(reader.get_bank()?)?,
+        pool: read_pool_ref(reader.get_bank()?)?,
         predecessor_id: reader.get_predecessor_id(),
     })
 }
@@ -68,7 +68,7 @@
 ) {
     builder.set_workspace(names.workspace_name(request.workspace));
     builder.set_predecessor_id(request.predecessor_id);
-    write_pool_ref(&request.bank, builder.init_bank());
+    write_pool_ref(&request.pool, builder.init_bank());
 }
 
 pub fn read_lease_response(reader: wire::lease_answer::Reader<'_>) -> Result<LeaseResponse, Error> {
@@ -128,8 +128,8 @@
     Ok(BorrowRequest {
         workspace: workspace(names, reader.get_workspace()?)?,
         borrower: read_process(reader.get_borrower()?)?,
-        bank_id: reader.get_bank_id(),
-        last_loan: reader.get_last_loan(),
+        pool_id: reader.get_bank_id(),
+        last_batch_number: reader.get_last_loan(),
         held_count: reader.get_held_count(),
         returned_count: reader.get_returned_count(),
         need_count: reader.get_need_count(),
@@ -143,8 +143,8 @@
     mut builder: wire::borrow_ask::Builder<'_>,
 ) {
     builder.set_workspace(names.workspace_name(request.workspace));
-    builder.set_bank_id(request.bank_id);
-    builder.set_last_loan(request.last_loan);
+    builder.set_bank_id(request.pool_id);
+    builder.set_last_loan(request.last_batch_number);
     builder.set_held_count(request.held_count);
     builder.set_returned_count(request.returned_count);
     builder.set_need_count(request.need_count);
@@ -154,8 +154,8 @@
 
 pub fn read_borrow_response(reader: wire::borrow_answer::Reader<'_>) -> BorrowResponse {
     BorrowResponse {
-        bank_id: reader.get_bank_id(),
-        loan: reader.get_loan(),
+        pool_id: reader.get_bank_id(),
+        batch_number: reader.get_loan(),
         granted_count: reader.get_granted_count(),
         ttl_ms: reader.get_ttl_ms(),
         empty_for_ms: reader.get_empty_for_ms(),
@@ -166,8 +166,8 @@
     response: BorrowResponse,
     mut builder: wire::borrow_answer::Builder<'_>,
 ) {
-    builder.set_bank_id(response.bank_id);
-    builder.set_loan(response.loan);
+    builder.set_bank_id(response.pool_id);
+    builder.set_loan(response.batch_number);
     builder.set_granted_count(response.granted_count);
     builder.set_ttl_ms(response.ttl_ms);
     builder.set_empty_for_ms(response.empty_for_ms);
@@ -181,8 +181,8 @@
     let records = reader.get_records()?.iter();
     let export = SliceExport {
         slice: SliceIndex::new(slice),
-        history: History {
-            since_version: reader.get_since_version(),
+        history: SliceHistory {
+            since_epoch: reader.get_since_version(),
             known_since_unix_ms: reader.get_known_since_unix_ms(),
         },
         records: records
@@ -191,7 +191,7 @@
     };
     Ok(Handover {
         export,
-        moved_by_version: reader.get_moved_by_version(),
+        moved_by_epoch: reader.get_moved_by_version(),
         to_started_unix_ms: reader.get_to_started_unix_ms(),
     })
 }
@@ -199,9 +199,9 @@
 fn read_record(names: &Names, reader: wire::key_record::Reader<'_>) -> Result<SliceRecord, Error> {
     let key_hash = <[u8; 16]>::try_from(reader.get_key_hash()?)
         .map_err(|_| Error::failed("key hash is not 16 bytes long".to_owned()))?;
-    let answer = match reader.get_status() {
+    let response = match reader.get_status() {
         0 => None,
-        status => Some(StoredAnswer {
+        status => Some(StoredResponse {
             status,
             headers: read_headers(reader)?,
             body: bytes::Bytes::copy_from_slice(reader.get_body()?),
@@ -213,7 +213,7 @@
             key_hash: u128::from_be_bytes(key_hash),
         },
         fingerprint: reader.get_fingerprint(),
-        answer,
+        response,
         keep_for_ms: reader.get_keep_for_ms(),
     })
 }
@@ -233,9 +233,9 @@
     let export = &handover.export;
     let index = u16::try_from(export.slice.index()).expect("slice indices fit into 16 bits");
     builder.set_slice(index);
-    builder.set_since_version(export.history.since_version);
+    builder.set_since_version(export.history.since_epoch);
     builder.set_known_since_unix_ms(export.history.known_since_unix_ms);
-    builder.set_moved_by_version(handover.moved_by_version);
+    builder.set_moved_by_version(handover.moved_by_epoch);
     builder.set_to_started_unix_ms(handover.to_started_unix_ms);
     let mut records = builder.init_records(list_length(&export.records));
     for (index, record) in (0..).zip(&export.records) {
@@ -248,13 +248,13 @@
     builder.set_key_hash(&record.key.key_hash.to_be_bytes());
     builder.set_fingerprint(record.fingerprint);
     builder.set_keep_for_ms(record.keep_for_ms);
-    let Some(answer) = &record.answer else {
+    let Some(response) = &record.response else {
         return;
     };
-    builder.set_status(answer.status);
-    builder.set_body(&answer.body);
-    let mut headers = builder.init_headers(list_length(&answer.headers));
-    for (index, (name, value)) in (0..).zip(&answer.headers) {
+    builder.set_status(response.status);
+    builder.set_body(&response.body);
+    let mut headers = builder.init_headers(list_length(&response.headers));
+    for (index, (name, value)) in (0..).zip(&response.headers) {
         let mut header = headers.reborrow().get(index);
         header.set_name(name);
         header.set_value(value);
