--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -6,7 +6,7 @@
             Adaptive, AdmissionPolicy, AdmitAll, Arrival, Decision, StaticLimit, TargetResult,
             TargetSize,
         },
-        logging::{LineBudget, json_line},
+        logging::{LineRateLimiter, json_line},
         model::{AdmissionLevel, Class, RegionKey, RegionSet, ServiceKey, WorkspaceKey, ZoneKey},
         retry::{ChainBudget, RetryPolicy},
         routing::{AttemptResult, Distance, RoutePolicy, RouteRequest, TargetInfo, ZoneRouter},
@@ -67,10 +67,10 @@
 }
 
 fn left_out_line() -> f64 {
-    let mut budget = LineBudget::new();
+    let mut budget = LineRateLimiter::new();
     let started = Instant::now();
     for _ in 0..ROUND_COUNT {
-        black_box(budget.spend("AttemptRefused", log::Level::Info, 0));
+        black_box(budget.check("AttemptRefused", log::Level::Info, 0));
     }
     per_round(started, ROUND_COUNT)
 }
--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -205,7 +205,7 @@
         let address = self.platform.ok_or(CliError::MissingFlag {
             flag: "--platform".to_owned(),
         })?;
-        Ok(Platform::new(address).with_call_limit_ms(self.platform_limit_ms))
+        Ok(Platform::new(address).with_call_timeout_ms(self.platform_limit_ms))
     }
 
     /// The nodes, if any are named.
--- a/src/cli/document_change.rs
+++ b/src/cli/document_change.rs
@@ -7,7 +7,7 @@
         conf::Evacuations,
         documents::DocumentKind,
         keys::{KeysError, KeysRecord},
-        platform::{Platform, PlatformError, Write},
+        platform::{Platform, PlatformError, WriteOutcome},
     },
     serde::Serialize,
 };
@@ -144,10 +144,10 @@
     }
     Ok(
         match platform.write(name, object.version, record.write()).await {
-            Write::Written(version) => Attempt::Written(version),
-            Write::Conflict(_) => Attempt::Conflict,
-            Write::Refused(error) => Attempt::Failed(error),
-            Write::Unknown(error) => Attempt::Unknown(error),
+            WriteOutcome::Written(version) => Attempt::Written(version),
+            WriteOutcome::Conflict(_) => Attempt::Conflict,
+            WriteOutcome::Refused(error) => Attempt::Failed(error),
+            WriteOutcome::Unknown(error) => Attempt::Unknown(error),
         },
     )
 }
--- a/src/cli/publication.rs
+++ b/src/cli/publication.rs
@@ -5,7 +5,7 @@
         backoff::Backoff,
         conf::{ConfigurationRecord, Publication},
         documents::DocumentKind,
-        platform::{Platform, PlatformError, Write},
+        platform::{Platform, PlatformError, WriteOutcome},
     },
     serde::Serialize,
     uuid::Uuid,
@@ -86,20 +86,22 @@
     for _ in 0..WRITE_ATTEMPTS {
         let name = DocumentKind::Configuration.name();
         match platform.write(name, base_version, content.clone()).await {
-            Write::Written(version) => return PublishOutcome::Published { version },
-            Write::Conflict(version) if lost_answer.is_none() => {
+            WriteOutcome::Written(version) => return PublishOutcome::Published { version },
+            WriteOutcome::Conflict(version) if lost_answer.is_none() => {
                 let winner = read_winner(platform, version).await;
                 return PublishOutcome::Conflict { winner };
             }
-            Write::Conflict(version) => {
+            WriteOutcome::Conflict(version) => {
                 let winner = read_winner(platform, version).await;
                 if let Some(outcome) = resolve(winner, publish_id, base_version) {
                     return outcome;
                 }
             }
-            Write::Refused(error @ PlatformError::Unreachable(_)) => last_error = Some(error),
-            Write::Refused(error) => return not_published(&error),
-            Write::Unknown(error) => lost_answer = Some(error),
+            WriteOutcome::Refused(error @ PlatformError::Unreachable(_)) => {
+                last_error = Some(error);
+            }
+            WriteOutcome::Refused(error) => return not_published(&error),
+            WriteOutcome::Unknown(error) => lost_answer = Some(error),
         }
         backoff.wait().await;
         if lost_answer.is_some()
--- a/src/conf/compile.rs
+++ b/src/conf/compile.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        RouteRules, Running, ServiceRules, WorkspaceRules,
+        CompiledConfiguration, RouteRules, ServiceRules, WorkspaceRules,
         record::{ConfigurationRecord, RouteRecord, ServiceRecord, WorkspaceRecord},
     },
     crate::{
@@ -43,11 +43,11 @@
     configuration: &Document,
     keys: Option<&Document>,
     names: &Names,
-) -> Result<Running, CompileError> {
+) -> Result<CompiledConfiguration, CompileError> {
     let record = read_configuration(configuration)?;
-    let mut compiled = Running {
+    let mut compiled = CompiledConfiguration {
         revision: configuration.version,
-        ..Running::default()
+        ..CompiledConfiguration::default()
     };
     for service in record.rules.services {
         add_service(service, names, &mut compiled);
@@ -71,7 +71,7 @@
     })
 }
 
-fn add_service(record: ServiceRecord, names: &Names, compiled: &mut Running) {
+fn add_service(record: ServiceRecord, names: &Names, compiled: &mut CompiledConfiguration) {
     let service = names.service(&record.name);
     let rules = ServiceRules {
         service,
@@ -86,7 +86,11 @@
     compiled.services.insert(service, rules);
 }
 
-fn add_workspace(record: &WorkspaceRecord, names: &Names, compiled: &mut Running) -> WorkspaceKey {
+fn add_workspace(
+    record: &WorkspaceRecord,
+    names: &Names,
+    compiled: &mut CompiledConfiguration,
+) -> WorkspaceKey {
     let workspace = names.workspace(&record.name);
     let rules = WorkspaceRules {
         workspace,
@@ -106,7 +110,7 @@
 fn add_keys(
     document: &Document,
     workspaces: &HashMap<String, WorkspaceKey>,
-    compiled: &mut Running,
+    compiled: &mut CompiledConfiguration,
 ) -> Result<(), CompileError> {
     let keys = KeysRecord::read(&document.content).map_err(|source| CompileError::Keys {
         version: document.version,
--- a/src/conf/evacuations.rs
+++ b/src/conf/evacuations.rs
@@ -44,7 +44,7 @@
 /// Starts the task that puts each new evacuations document into force. No zone
 /// is evacuated until the first document arrives.
 #[must_use]
-pub fn spawn_evacuations(
+pub fn spawn_evacuations_task(
     store: &DocumentStore,
     shutdown: CancellationToken,
 ) -> watch::Receiver<Arc<Evacuations>> {
--- a/src/conf/hosts.rs
+++ b/src/conf/hosts.rs
@@ -1,7 +1,7 @@
 //! Routes selected by host and path prefix.
 
 use {
-    super::{Running, WorkspaceRules},
+    super::{CompiledConfiguration, WorkspaceRules},
     crate::{
         keys::KeyDigest,
         model::{Class, Names, RegionSet, ServiceKey},
@@ -44,9 +44,9 @@
     /// Maximum time until the final response, in milliseconds.
     pub timeout_ms: u32,
     /// Response time, in milliseconds, up to which a response has its full value.
-    pub aim_ms: u32,
+    pub latency_objective_ms: u32,
     /// Whether requests without a key are accepted.
-    pub is_open: bool,
+    pub is_public: bool,
     /// Regions in which its requests may run; empty for all.
     pub regions: Vec<String>,
 }
@@ -99,9 +99,9 @@
     /// Maximum time until the final response, in milliseconds.
     pub timeout_ms: u32,
     /// Response time, in milliseconds, up to which a response has its full value.
-    pub aim_ms: u32,
+    pub latency_objective_ms: u32,
     /// Whether requests without a key are accepted.
-    pub is_open: bool,
+    pub is_public: bool,
     /// Regions in which its requests may run.
     pub regions: RegionSet,
 }
@@ -129,7 +129,7 @@
 
 impl HostRoute {
     /// Picks a destination at random in proportion to the weights.
-    pub fn draw_service<R: Rng>(&self, rng: &mut R) -> Option<ServiceKey> {
+    pub fn pick_service<R: Rng>(&self, rng: &mut R) -> Option<ServiceKey> {
         let total_weight: u32 = self.destinations.iter().map(|(_, weight)| weight).sum();
         let mut remaining_weight = rng.random_range(0..total_weight.max(1));
         for (service, weight) in &self.destinations {
@@ -146,10 +146,10 @@
 ///
 /// The key lease is 0: keys are accepted only while the node can confirm them.
 #[must_use]
-pub fn compile_hosted(configuration: &HostedConfiguration, names: &Names) -> Running {
-    let mut compiled = Running {
+pub fn compile_hosted(configuration: &HostedConfiguration, names: &Names) -> CompiledConfiguration {
+    let mut compiled = CompiledConfiguration {
         revision: configuration.version,
-        ..Running::default()
+        ..CompiledConfiguration::default()
     };
     for service in &configuration.services {
         let service_key = names.service(&service.name);
@@ -188,11 +188,11 @@
 
 /// Converts a host to the form used in routes: lower case, without a port.
 #[must_use]
-pub fn plain_host(host: &str) -> String {
+pub fn normalize_host(host: &str) -> String {
     host.split(':').next().unwrap_or(host).to_ascii_lowercase()
 }
 
-fn add_workspace(workspace: &HostedWorkspace, names: &Names, compiled: &mut Running) {
+fn add_workspace(workspace: &HostedWorkspace, names: &Names, compiled: &mut CompiledConfiguration) {
     let workspace_key = names.workspace(&workspace.name);
     let rules = WorkspaceRules {
         workspace: workspace_key,
@@ -223,8 +223,8 @@
         repeatable: route.repeatable,
         retry_limit: route.attempt_limit.saturating_sub(1),
         timeout_ms: route.timeout_ms,
-        aim_ms: route.aim_ms,
-        is_open: route.is_open,
+        latency_objective_ms: route.latency_objective_ms,
+        is_public: route.is_public,
         regions: region_set(&route.regions, names),
     }
 }
--- a/src/conf/in_force.rs
+++ b/src/conf/in_force.rs
@@ -1,7 +1,7 @@
 //! Compiles the stored documents and publishes the configuration in force.
 
 use {
-    super::{Running, compile},
+    super::{CompiledConfiguration, compile},
     crate::{
         documents::{Document, DocumentKind, DocumentStore},
         event,
@@ -19,13 +19,13 @@
 /// The receiver holds an empty configuration of revision 0 until the first
 /// configuration document arrives.
 #[must_use]
-pub fn spawn_in_force(
+pub fn spawn_configuration_task(
     store: &DocumentStore,
     revocations: &Revocations,
     names: Names,
     shutdown: CancellationToken,
-) -> watch::Receiver<Arc<Running>> {
-    let (sender, receiver) = watch::channel(Arc::new(Running::default()));
+) -> watch::Receiver<Arc<CompiledConfiguration>> {
+    let (sender, receiver) = watch::channel(Arc::new(CompiledConfiguration::default()));
     let mut sources = ConfigurationSources {
         configuration: store.subscribe(DocumentKind::Configuration),
         keys: store.subscribe(DocumentKind::Keys),
@@ -62,7 +62,7 @@
 
     fn put_into_force(
         &mut self,
-        sender: &watch::Sender<Arc<Running>>,
+        sender: &watch::Sender<Arc<CompiledConfiguration>>,
         names: &Names,
         revocations: &Revocations,
     ) {
@@ -75,12 +75,12 @@
         let previous = sender.borrow().clone();
         let mut compiled = match compile(&configuration, keys.as_ref(), names) {
             Ok(compiled) => {
-                revocations.confirm(&compiled.revoked);
+                revocations.remove_in_document(&compiled.revoked);
                 compiled
             }
             Err(error) => {
                 event!(Event::ConfigurationRejected, "error={error}");
-                Running::clone(&previous)
+                CompiledConfiguration::clone(&previous)
             }
         };
         // A keys document written from an old copy may lack an earlier revocation,
@@ -92,7 +92,11 @@
     }
 }
 
-fn publish_if_changed(sender: &watch::Sender<Arc<Running>>, previous: &Running, compiled: Running) {
+fn publish_if_changed(
+    sender: &watch::Sender<Arc<CompiledConfiguration>>,
+    previous: &CompiledConfiguration,
+    compiled: CompiledConfiguration,
+) {
     if compiled == *previous {
         return;
     }
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -15,13 +15,13 @@
     check::{DEFAULT_DEADLINE_MS, DEFAULT_KEY_LEASE_S, DEFAULT_RETRIES},
     collect::{CheckError, SERVICE_FILE, WORKSPACES_FILE, check_dir},
     compile::{CompileError, compile, read_configuration},
-    evacuations::{Evacuations, spawn_evacuations},
+    evacuations::{Evacuations, spawn_evacuations_task},
     file::{RouteSection, ServiceFile, WorkspaceSection, WorkspacesFile},
     hosts::{
         HostRoute, HostRoutes, HostedConfiguration, HostedRoute, HostedService, HostedWorkspace,
-        compile_hosted, plain_host,
+        compile_hosted, normalize_host,
     },
-    in_force::spawn_in_force,
+    in_force::spawn_configuration_task,
     path::{PathError, covers, parse_path},
     problem::Problem,
     record::{
@@ -86,7 +86,7 @@
 
 /// A compiled revision of the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Running {
+pub struct CompiledConfiguration {
     /// Version of the platform's object; a node only adopts higher versions.
     pub revision: u64,
     /// Services by key.
@@ -108,7 +108,7 @@
     pub restricts_regions: bool,
 }
 
-impl Running {
+impl CompiledConfiguration {
     /// Returns the first matching route of the service.
     #[must_use]
     pub fn route(&self, service: ServiceKey, method: &str, path: &str) -> Option<&RouteRules> {
@@ -122,13 +122,18 @@
     /// Returns the regions in which a request may run: those allowed by both its
     /// workspace and, if routes are selected by host, its route.
     #[must_use]
-    pub fn regions_of(&self, workspace: WorkspaceKey, host: Option<&str>, path: &str) -> RegionSet {
+    pub fn allowed_regions(
+        &self,
+        workspace: WorkspaceKey,
+        host: Option<&str>,
+        path: &str,
+    ) -> RegionSet {
         if !self.restricts_regions {
             return RegionSet::ANY;
         }
         let workspace_regions = self.workspaces.get(&workspace).map(|rules| rules.regions);
         let route_regions =
-            host.and_then(|host| Some(self.hosts.find(&plain_host(host), path)?.regions));
+            host.and_then(|host| Some(self.hosts.find(&normalize_host(host), path)?.regions));
         let [workspace_regions, route_regions] =
             [workspace_regions, route_regions].map(|regions| regions.unwrap_or(RegionSet::ANY));
         workspace_regions.intersection(route_regions)
--- a/src/control/admin.rs
+++ b/src/control/admin.rs
@@ -4,7 +4,7 @@
     super::KindLabel,
     crate::{
         dialect::Dialect,
-        exchange::{AnswerBody, ListenerLimits, serve},
+        exchange::{ListenerLimits, ResponseBody, serve},
         node::{Node, Policies},
     },
     bytes::Bytes,
@@ -21,10 +21,10 @@
 };
 
 const LIMITS: ListenerLimits = ListenerLimits {
-    connection_count: 64,
-    header_bytes: 8 << 10,
+    max_connections: 64,
+    max_header_bytes: 8 << 10,
     header_timeout: Duration::from_secs(5),
-    stream_count: 16,
+    max_streams: 16,
 };
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
@@ -46,17 +46,17 @@
     .await;
 }
 
-fn respond<P: Policies>(node: &Node<P>, path: &str) -> Response<AnswerBody> {
+fn respond<P: Policies>(node: &Node<P>, path: &str) -> Response<ResponseBody> {
     match path {
         "/metrics" => metrics(node),
         "/healthz" => text(StatusCode::OK, "ok\n"),
-        path if node.dialect.asks_readiness(path) && node.is_draining() => {
+        path if node.dialect.is_readiness_path(path) && node.is_draining() => {
             text(StatusCode::SERVICE_UNAVAILABLE, "draining\n")
         }
-        path if node.dialect.asks_readiness(path) && node.is_ready() => {
+        path if node.dialect.is_readiness_path(path) && node.is_ready() => {
             text(StatusCode::OK, "ready\n")
         }
-        path if node.dialect.asks_readiness(path) => text(
+        path if node.dialect.is_readiness_path(path) => text(
             StatusCode::SERVICE_UNAVAILABLE,
             "waiting for a configuration from the platform or a neighbour\n",
         ),
@@ -64,7 +64,7 @@
     }
 }
 
-fn metrics<P: Policies>(node: &Node<P>) -> Response<AnswerBody> {
+fn metrics<P: Policies>(node: &Node<P>) -> Response<ResponseBody> {
     let (running, waiting) = node.admission().counts();
     let connections = node.caller_connection_count.load(Ordering::Relaxed);
     node.metrics.running.set(gauge(running));
@@ -107,8 +107,10 @@
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-fn text(status: StatusCode, body: &str) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(Bytes::copy_from_slice(body.as_bytes())));
+fn text(status: StatusCode, body: &str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(Bytes::copy_from_slice(
+        body.as_bytes(),
+    )));
     *response.status_mut() = status;
     response
 }
--- a/src/control/explain.rs
+++ b/src/control/explain.rs
@@ -3,7 +3,7 @@
 use {
     super::records::{ExplainRequest, ExplainStep, Explanation},
     crate::{
-        conf::{RouteRules, Running},
+        conf::{CompiledConfiguration, RouteRules},
         keys::KeyState,
         model::{AdmissionLevel, Class, Names, Reason, ServiceKey, WorkspaceKey},
     },
@@ -60,7 +60,11 @@
 
 /// Looks up key and route.
 #[must_use]
-pub fn resolve(request: &ExplainRequest, running: &Running, names: &Names) -> Resolved {
+pub fn resolve(
+    request: &ExplainRequest,
+    running: &CompiledConfiguration,
+    names: &Names,
+) -> Resolved {
     let mut steps = Steps::default();
     let workspace = resolve_workspace(request, running, names, &mut steps);
     let service = running.service_names.get(&request.service).copied();
@@ -151,7 +155,7 @@
 
 fn resolve_workspace(
     request: &ExplainRequest,
-    running: &Running,
+    running: &CompiledConfiguration,
     names: &Names,
     steps: &mut Steps,
 ) -> Option<WorkspaceKey> {
--- a/src/control/sources.rs
+++ b/src/control/sources.rs
@@ -75,7 +75,7 @@
     }
 
     fn calls(&self, kind: CallKind) -> crate::rpc::CallCount {
-        self.client.counters().of(kind)
+        self.client.counters().for_kind(kind)
     }
 
     fn entries(&self) -> Vec<Sample> {
--- a/src/daemon/hosted/configuration.rs
+++ b/src/daemon/hosted/configuration.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        conf::{HostedConfiguration, Running, compile_hosted},
+        conf::{CompiledConfiguration, HostedConfiguration, compile_hosted},
         documents::Document,
         event,
         events::Event,
@@ -19,9 +19,9 @@
     names: Names,
 ) -> (
     impl FnMut(&Document) + Send + 'static,
-    watch::Receiver<Arc<Running>>,
+    watch::Receiver<Arc<CompiledConfiguration>>,
 ) {
-    let (sender, receiver) = watch::channel(Arc::new(Running::default()));
+    let (sender, receiver) = watch::channel(Arc::new(CompiledConfiguration::default()));
     let apply = move |document: &Document| put_into_force(&sender, document, decode, &names);
     (apply, receiver)
 }
@@ -29,7 +29,7 @@
 /// Versions only rise: content that is older than what is in force is left
 /// alone, so that no request is decided by rules that were withdrawn.
 fn put_into_force<E: Display>(
-    sender: &watch::Sender<Arc<Running>>,
+    sender: &watch::Sender<Arc<CompiledConfiguration>>,
     document: &Document,
     decode: fn(&[u8]) -> Result<HostedConfiguration, E>,
     names: &Names,
--- a/src/daemon/hosted/discovery.rs
+++ b/src/daemon/hosted/discovery.rs
@@ -9,7 +9,7 @@
         event,
         events::Event,
         membership::{Member, SeedAddresses, SeedsRecord, View, relay_rank},
-        objects::{Condition, ObjectStore, StoreError, StoredObject},
+        objects::{ObjectStore, StoreError, StoredObject, WriteCondition},
         settings::Settings,
         timer::Timer,
     },
@@ -127,8 +127,8 @@
         let mut seeds = SeedAddresses::default();
         for object in objects {
             let known = match object.name == self.zone {
-                true => &mut seeds.near,
-                false => &mut seeds.far,
+                true => &mut seeds.same_zone,
+                false => &mut seeds.other_zones,
             };
             let addresses = read(object).addresses.into_iter();
             known.extend(addresses.filter(|address| *address != self.own_address));
@@ -143,8 +143,8 @@
         let Some(record) = SeedsRecord::revised(held.as_ref(), &present, now_ms) else {
             return;
         };
-        let condition = object.map_or(Condition::Absent, |object| {
-            Condition::Revision(object.revision)
+        let condition = object.map_or(WriteCondition::Absent, |object| {
+            WriteCondition::Revision(object.revision)
         });
         let content = match serde_json::to_vec(&record) {
             Ok(content) => content,
--- a/src/daemon/hosted/mod.rs
+++ b/src/daemon/hosted/mod.rs
@@ -9,13 +9,13 @@
     super::DaemonError,
     crate::{
         admission::Adaptive,
-        conf::{HostedConfiguration, spawn_evacuations},
+        conf::{HostedConfiguration, spawn_evacuations_task},
         dialect::Dialect,
         documents::DocumentStore,
         membership::{Gossip, GossipInputs, OwnState},
         model::Names,
         node::{Node, NodeInputs, PolicySet, start},
-        objects::{FollowedNames, ObjectStore},
+        objects::{FollowedObjects, ObjectStore},
         peer::FleetAuth,
         quota::{DividedQuota, SharingInputs, spawn_sharing},
         retry::ChainBudget,
@@ -49,7 +49,7 @@
     /// The deployment's object store.
     pub store: S,
     /// The objects that are followed.
-    pub followed: FollowedNames,
+    pub followed: FollowedObjects,
     /// Decodes the configuration.
     pub decode: fn(&[u8]) -> Result<HostedConfiguration, E>,
     /// How long after its removal a key may be honoured, in milliseconds.
@@ -75,7 +75,7 @@
     let (_revocation_sender, revocations) = mpsc::channel(1);
     let (hint_sender, hints) = mpsc::channel(CHANNEL_LENGTH);
     let gossip_inputs = GossipInputs {
-        own: own_state.subscribe(),
+        own_state: own_state.subscribe(),
         revocations,
         seeds,
         hints: hint_sender,
@@ -96,7 +96,7 @@
         shutdown.clone(),
     );
     let documents = DocumentStore::new();
-    let evacuations = spawn_evacuations(&documents, shutdown.clone());
+    let evacuations = spawn_evacuations_task(&documents, shutdown.clone());
     let (apply, running) = configuration::in_force(parts.decode, names.clone());
     let relaying = RelayingParts {
         settings: &settings,
--- a/src/daemon/hosted/relaying.rs
+++ b/src/daemon/hosted/relaying.rs
@@ -4,12 +4,12 @@
 use {
     crate::{
         daemon::{DaemonError, neighbours::RpcNeighbours},
-        documents::{Document, DocumentKind, DocumentStore, FollowerParts, Hint, PollBounds},
+        documents::{Document, DocumentKind, DocumentStore, FollowerInputs, Hint, PollBounds},
         freshness::Snapshot,
         guard::Handover,
         membership::{Gossip, OwnState},
         model::{Names, WorkspaceKey},
-        objects::{FollowParts, FollowedNames, ObjectOrigin, ObjectStore, follow},
+        objects::{FollowedObjects, ObjectFollowerInputs, ObjectOrigin, ObjectStore, follow},
         quota::{BorrowRequest, BorrowResponse, LeaseRequest, LeaseResponse, PoolHandover},
         rpc::{self, DocumentSource, Handlers, RpcConfig},
         settings::Settings,
@@ -33,7 +33,7 @@
     /// The deployment's object store.
     pub store: S,
     /// The objects that are followed.
-    pub followed: FollowedNames,
+    pub followed: FollowedObjects,
     /// Where documents go.
     pub documents: DocumentStore,
     /// How long after its removal a key may be honoured, in milliseconds.
@@ -66,13 +66,13 @@
     let (settings, gossip) = (parts.settings, parts.gossip);
     let documents = parts.documents;
     let (client, calls) = rpc::channel();
-    let follower = FollowerParts {
+    let follower = FollowerInputs {
         node_id: settings.node_id.clone(),
         zone: settings.zone.clone(),
         store: documents.clone(),
         origin: ObjectOrigin::new(parts.store, parts.followed, documents.clone(), WATCH_MS),
-        bounds: PollBounds::PAID.with_start_delay_ms(parts.start_delay_ms),
-        neighbours: RpcNeighbours::new(client, gossip.view.clone()),
+        bounds: PollBounds::METERED_API.with_start_delay_ms(parts.start_delay_ms),
+        peers: RpcNeighbours::new(client, gossip.view.clone()),
         view: gossip.view.clone(),
         probes: gossip.probes.clone(),
         stamps: gossip.stamps.subscribe(),
@@ -80,12 +80,12 @@
         timer: parts.timer,
         shutdown: parts.shutdown.clone(),
     };
-    let confirmed_ms = parts
+    let confirmation_ttl_ms = parts
         .revocation_limit_ms
         .saturating_sub(REVOCATION_MARGIN_MS);
-    let follow_parts = FollowParts {
+    let follow_parts = ObjectFollowerInputs {
         follower,
-        confirmed_ms,
+        confirmation_ttl_ms,
         own_state: parts.own_state,
     };
     let freshness = follow(follow_parts, apply);
--- a/src/daemon/inputs.rs
+++ b/src/daemon/inputs.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        conf::Running,
+        conf::CompiledConfiguration,
         documents::{DocumentKind, DocumentStore, Versions},
         freshness::FreshnessObservation,
         membership::{Gossip, OwnState},
@@ -100,7 +100,7 @@
 
 /// Rates of the configuration in force.
 pub fn rates(
-    mut running: watch::Receiver<Arc<Running>>,
+    mut running: watch::Receiver<Arc<CompiledConfiguration>>,
     shutdown: &CancellationToken,
 ) -> watch::Receiver<Arc<Rates>> {
     let (sender, receiver) = watch::channel(Arc::default());
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -12,10 +12,10 @@
 use {
     crate::{
         admission::AdmissionPolicy,
-        conf::{spawn_evacuations, spawn_in_force},
+        conf::{spawn_configuration_task, spawn_evacuations_task},
         control::{ControlError, ControlSources, Operated, spawn_operators},
         dialect::Native,
-        documents::{DocumentStore, FollowerParts, spawn_follower},
+        documents::{DocumentStore, FollowerInputs, spawn_follower},
         freshness::{self, FreshnessInputs, FreshnessTracker},
         guard::GuardHome,
         keys::{Revocations, spawn_revocation_exchange},
@@ -91,7 +91,7 @@
     let (seed_sender, seeds_to_gossip) = mpsc::channel(CHANNEL_LENGTH);
     let (hint_sender, hints) = mpsc::channel(CHANNEL_LENGTH);
     let gossip_inputs = GossipInputs {
-        own: own_state.subscribe(),
+        own_state: own_state.subscribe(),
         revocations: revocations_to_gossip,
         seeds: seeds_to_gossip,
         hints: hint_sender,
@@ -108,15 +108,15 @@
         gossip.revoked.subscribe(),
         shutdown.clone(),
     );
-    let running = spawn_in_force(&store, &revocations, names.clone(), shutdown.clone());
+    let running = spawn_configuration_task(&store, &revocations, names.clone(), shutdown.clone());
     let (client, calls) = rpc::channel();
-    let followed = spawn_follower(FollowerParts {
+    let followed = spawn_follower(FollowerInputs {
         node_id: settings.node_id.clone(),
         zone: settings.zone.clone(),
         store: store.clone(),
         origin: platform.clone(),
-        bounds: Platform::LOOK_BOUNDS,
-        neighbours: RpcNeighbours::new(client.clone(), gossip.view.clone()),
+        bounds: Platform::POLL_BOUNDS,
+        peers: RpcNeighbours::new(client.clone(), gossip.view.clone()),
         view: gossip.view.clone(),
         probes: gossip.probes.clone(),
         stamps: gossip.stamps.subscribe(),
@@ -138,7 +138,7 @@
         FreshnessTracker::new(&settings.node_id, &settings.zone),
         FreshnessInputs {
             timer: timer.clone(),
-            observations: inputs::heard(&gossip, followed.seen),
+            observations: inputs::heard(&gossip, followed.last_confirmed_ms),
             view: gossip.view.clone(),
             versions: inputs::versions(&store, &own_state, &shutdown),
             table,
@@ -189,7 +189,7 @@
         names,
         timer: timer.clone(),
         running,
-        evacuations: spawn_evacuations(&store, shutdown.clone()),
+        evacuations: spawn_evacuations_task(&store, shutdown.clone()),
         view: gossip.view.clone(),
         probes: gossip.probes.clone(),
         own_state: own_state.clone(),
--- a/src/daemon/seeds.rs
+++ b/src/daemon/seeds.rs
@@ -8,7 +8,7 @@
 use {
     crate::{
         membership::{Gossip, Member, SeedAddresses, View, relay_rank},
-        platform::{Object, Platform, Write},
+        platform::{Object, Platform, WriteOutcome},
         settings::Settings,
         timer::Timer,
     },
@@ -112,7 +112,7 @@
             let content = serde_json::to_vec(&seeds).expect("addresses are valid JSON");
             // Lost or beaten by another zone's relay: the next look repeats it.
             let write = self.platform.write(OBJECT, object.version, content).await;
-            if !matches!(write, Write::Written(_)) {
+            if !matches!(write, WriteOutcome::Written(_)) {
                 return;
             }
         }
@@ -122,8 +122,8 @@
     fn addresses(&self, seeds: &Seeds) -> SeedAddresses {
         let others = seeds.iter().filter(|(zone, _)| **zone != self.zone);
         SeedAddresses {
-            near: seeds.get(&self.zone).cloned().unwrap_or_default(),
-            far: others
+            same_zone: seeds.get(&self.zone).cloned().unwrap_or_default(),
+            other_zones: others
                 .flat_map(|(_, addresses)| addresses)
                 .copied()
                 .collect(),
--- a/src/dialect/mod.rs
+++ b/src/dialect/mod.rs
@@ -16,8 +16,8 @@
 
 use {
     crate::{
-        conf::Running,
-        exchange::{Answer, AnswerBody},
+        conf::CompiledConfiguration,
+        exchange::{ForwardedResponse, ResponseBody},
         ingress::Rejection,
         model::{Refusal, RequestId},
     },
@@ -30,7 +30,7 @@
 pub trait Dialect: Send + Sync + 'static {
     /// Whether targets send their downstream calls to the caller port, like any
     /// caller, instead of to the egress port with a call handle.
-    const CALLS_LIKE_CALLERS: bool;
+    const CALLS_USE_CALLER_PORT: bool;
     /// Whether a target processes exactly as many requests at a time as it
     /// announces slots.
     const SLOTS_ARE_EXACT: bool;
@@ -40,25 +40,34 @@
     fn request_id(&self, headers: &HeaderMap) -> Option<RequestId>;
 
     /// Decodes a caller's request.
-    fn read_request(&self, running: &Running, head: &Parts) -> Result<CallerRequest, Rejection>;
+    fn read_request(
+        &self,
+        running: &CompiledConfiguration,
+        head: &Parts,
+    ) -> Result<CallerRequest, Rejection>;
 
     /// Converts a caller's headers to those for the target: removes the tenant
     /// key, headers that only nodes may set and hop-by-hop headers; adds the
     /// identity of the caller.
-    fn clean(&self, headers: &mut HeaderMap, workspace: Option<&str>);
+    fn rewrite_headers(&self, headers: &mut HeaderMap, workspace: Option<&str>);
 
     /// Converts a target's response to the response for the caller.
-    fn response(&self, answer: Answer) -> Response<AnswerBody>;
+    fn response(&self, answer: ForwardedResponse) -> Response<ResponseBody>;
 
     /// Response for a caller whose request is refused or cancelled; `detail`
     /// describes the cause.
-    fn refusal(&self, refusal: Refusal, detail: &str, request: &HeaderMap) -> Response<AnswerBody>;
+    fn refusal(
+        &self,
+        refusal: Refusal,
+        detail: &str,
+        request: &HeaderMap,
+    ) -> Response<ResponseBody>;
 
     /// Adds the headers that the target needs to a request.
-    fn address(&self, request: &mut Request<Full<Bytes>>, call: &TargetCall<'_>);
+    fn complete_request(&self, request: &mut Request<Full<Bytes>>, call: &TargetCall<'_>);
 
     /// Interprets the head of a target's response to a request.
-    fn judge(
+    fn classify_response(
         &self,
         method: &Method,
         call: &TargetCall<'_>,
@@ -74,8 +83,8 @@
     ) -> Result<TargetNotice, NoticeError>;
 
     /// Response to a notice of the local target.
-    fn notice_response(&self, result: Result<(), NoticeError>) -> Response<AnswerBody>;
+    fn notice_response(&self, result: Result<(), NoticeError>) -> Response<ResponseBody>;
 
     /// Whether this is the path of the readiness check.
-    fn asks_readiness(&self, path: &str) -> bool;
+    fn is_readiness_path(&self, path: &str) -> bool;
 }
--- a/src/dialect/native.rs
+++ b/src/dialect/native.rs
@@ -7,9 +7,14 @@
         TargetState, Tenant,
     },
     crate::{
-        conf::{Running, WorkspaceRules},
-        exchange::{Answer, AnswerBody, CALL, DEADLINE, KEY, SHED, refusal_response, response_of},
-        ingress::{Rejection, check_idempotency_key, parse_deadline_ms, split_path, strip},
+        conf::{CompiledConfiguration, WorkspaceRules},
+        exchange::{
+            CALL, DEADLINE, ForwardedResponse, KEY, ResponseBody, SHED, refusal_response,
+            response_from_result,
+        },
+        ingress::{
+            Rejection, check_idempotency_key, parse_deadline_ms, split_path, strip_request_headers,
+        },
         keys::{KeyDigest, KeyState},
         model::{Outcome, Reason, Refusal, RequestId},
     },
@@ -58,14 +63,18 @@
 }
 
 impl Dialect for Native {
-    const CALLS_LIKE_CALLERS: bool = false;
+    const CALLS_USE_CALLER_PORT: bool = false;
     const SLOTS_ARE_EXACT: bool = false;
 
     fn request_id(&self, _headers: &HeaderMap) -> Option<RequestId> {
         None
     }
 
-    fn read_request(&self, running: &Running, head: &Parts) -> Result<CallerRequest, Rejection> {
+    fn read_request(
+        &self,
+        running: &CompiledConfiguration,
+        head: &Parts,
+    ) -> Result<CallerRequest, Rejection> {
         let tenant = authenticate_tenant(running, &head.headers)?;
         if head.method == Method::CONNECT {
             let refusal = Refusal::not_run(Reason::BadRequest);
@@ -100,26 +109,26 @@
         })
     }
 
-    fn clean(&self, headers: &mut HeaderMap, _workspace: Option<&str>) {
-        strip(headers, None);
+    fn rewrite_headers(&self, headers: &mut HeaderMap, _workspace: Option<&str>) {
+        strip_request_headers(headers, None);
     }
 
-    fn response(&self, answer: Answer) -> Response<AnswerBody> {
-        response_of(Ok(answer))
+    fn response(&self, answer: ForwardedResponse) -> Response<ResponseBody> {
+        response_from_result(Ok(answer))
     }
 
-    fn refusal(&self, refusal: Refusal, detail: &str, _: &HeaderMap) -> Response<AnswerBody> {
+    fn refusal(&self, refusal: Refusal, detail: &str, _: &HeaderMap) -> Response<ResponseBody> {
         refusal_response(refusal, detail)
     }
 
-    fn address(&self, request: &mut Request<Full<Bytes>>, call: &TargetCall<'_>) {
+    fn complete_request(&self, request: &mut Request<Full<Bytes>>, call: &TargetCall<'_>) {
         let headers = request.headers_mut();
         headers.insert(HOST, HeaderValue::from_static("target"));
         headers.insert(CALL, handle_header_value(call));
         headers.insert(DEADLINE, HeaderValue::from(call.remaining_ms));
     }
 
-    fn judge(
+    fn classify_response(
         &self,
         method: &Method,
         call: &TargetCall<'_>,
@@ -154,10 +163,10 @@
         }
     }
 
-    fn notice_response(&self, result: Result<(), NoticeError>) -> Response<AnswerBody> {
+    fn notice_response(&self, result: Result<(), NoticeError>) -> Response<ResponseBody> {
         match result {
             Ok(()) => {
-                let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+                let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
                 *response.status_mut() = StatusCode::NO_CONTENT;
                 response
             }
@@ -167,7 +176,7 @@
         }
     }
 
-    fn asks_readiness(&self, path: &str) -> bool {
+    fn is_readiness_path(&self, path: &str) -> bool {
         path == "/readyz"
     }
 }
@@ -177,7 +186,10 @@
 }
 
 /// The workspace whose tenant key the request carries.
-fn authenticate_tenant(running: &Running, headers: &HeaderMap) -> Result<Tenant, Rejection> {
+fn authenticate_tenant(
+    running: &CompiledConfiguration,
+    headers: &HeaderMap,
+) -> Result<Tenant, Rejection> {
     let reject = |reason, detail| Rejection::new(Refusal::not_run(reason), detail);
     let mut values = headers.get_all(KEY).iter();
     let Some(key) = values.next() else {
--- a/src/dialect/target.rs
+++ b/src/dialect/target.rs
@@ -15,7 +15,7 @@
     /// Host that the caller addressed.
     pub host: Option<&'a str>,
     /// The other headers of the request.
-    pub sent: &'a HeaderMap,
+    pub sent_headers: &'a HeaderMap,
 }
 
 /// Meaning of the head of a target's response.
--- a/src/documents/follower.rs
+++ b/src/documents/follower.rs
@@ -55,7 +55,7 @@
 }
 
 /// Inputs of [`spawn_follower`].
-pub struct FollowerParts<O, N> {
+pub struct FollowerInputs<O, N> {
     /// This node.
     pub node_id: String,
     /// Its availability zone.
@@ -67,7 +67,7 @@
     /// When to poll the origin.
     pub bounds: PollBounds,
     /// Calls to other members.
-    pub neighbours: N,
+    pub peers: N,
     /// Current membership.
     pub view: watch::Receiver<Arc<View>>,
     /// Sends probes to single members.
@@ -170,17 +170,17 @@
 pub struct FollowerOutputs {
     /// Time of the last confirmed poll on the timer's clock, in milliseconds, made by
     /// this node or by a member whose versions it holds.
-    pub seen: watch::Receiver<Option<u64>>,
+    pub last_confirmed_ms: watch::Receiver<Option<u64>>,
     /// Whether this node's calls to the origin fail.
     pub is_origin_failing: watch::Receiver<bool>,
 }
 
 /// Starts the follower.
-pub fn spawn_follower<O: DocumentOrigin, N: Peers>(parts: FollowerParts<O, N>) -> FollowerOutputs {
+pub fn spawn_follower<O: DocumentOrigin, N: Peers>(parts: FollowerInputs<O, N>) -> FollowerOutputs {
     let (last_confirmed_ms, last_confirmed_receiver) = watch::channel(None);
     let reachability = Arc::new(OriginReachability::new());
     let followed = FollowerOutputs {
-        seen: last_confirmed_receiver,
+        last_confirmed_ms: last_confirmed_receiver,
         is_origin_failing: reachability.subscribe(),
     };
     let shared = Shared {
@@ -201,7 +201,7 @@
         let watching = WatchTask::new(shared.clone(), kind).run();
         spawn_until(&shutdown, after_start_delay(start_delay_ms, watching));
         let available = available[kind.index()].subscribe();
-        let fetching = fetch_available(shared.clone(), parts.neighbours.clone(), kind, available);
+        let fetching = fetch_available(shared.clone(), parts.peers.clone(), kind, available);
         spawn_until(&shutdown, fetching);
     }
     let polling = PollTask::new(shared.clone(), parts.probes).run();
--- a/src/documents/mod.rs
+++ b/src/documents/mod.rs
@@ -8,7 +8,7 @@
 mod store;
 
 pub use {
-    follower::{FollowerOutputs, FollowerParts, Hint, Peers, spawn_follower},
+    follower::{FollowerInputs, FollowerOutputs, Hint, Peers, spawn_follower},
     origin::DocumentOrigin,
     schedule::{PeerPolls, PollBounds, PollRole},
     store::DocumentStore,
--- a/src/documents/poll.rs
+++ b/src/documents/poll.rs
@@ -90,7 +90,7 @@
         let view = self.shared.view.borrow();
         for relay in relays(&view, &self.shared.zone) {
             if relay.node_id != self.shared.node_id {
-                self.probes.ask_stamp(&relay.node_id);
+                self.probes.request_stamp(&relay.node_id);
             }
         }
     }
--- a/src/documents/schedule.rs
+++ b/src/documents/schedule.rs
@@ -55,7 +55,7 @@
 impl PollBounds {
     /// For an origin that bills calls, and confirmations valid for at least four
     /// seconds.
-    pub const PAID: Self = Self {
+    pub const METERED_API: Self = Self {
         period_ms: 200,
         start_delay_ms: 0,
         first_relay_age_ms: 1500,
--- a/src/egress/announce.rs
+++ b/src/egress/announce.rs
@@ -6,7 +6,7 @@
         dialect::{Dialect, Heartbeat, NoticeError, TargetNotice, TargetState},
         event,
         events::Event,
-        exchange::{AnswerBody, Collected, collect},
+        exchange::{Collected, ResponseBody, collect},
         membership::Announcement,
         node::{Node, Policies},
         target::{NoticeStatus, PoolTarget},
@@ -20,7 +20,7 @@
 pub async fn handle<P: Policies>(
     node: &Node<P>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let result = apply_notice(node, request).await;
     if let Err(error) = &result {
         event!(Event::NoticeRejected, "error={error}");
@@ -35,7 +35,7 @@
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     let mut body = request.into_body();
-    let Collected::Whole(body) = collect(&mut body, MAX_NOTICE_BYTES).await? else {
+    let Collected::Complete(body) = collect(&mut body, MAX_NOTICE_BYTES).await? else {
         return Err(NoticeError::TooLarge {
             limit_bytes: MAX_NOTICE_BYTES,
         });
--- a/src/egress/attempts.rs
+++ b/src/egress/attempts.rs
@@ -5,7 +5,7 @@
         dialect::Dialect,
         event,
         events::Event,
-        exchange::{Answer, Outbound},
+        exchange::{ForwardedResponse, OutboundRequest},
         keys::KeyDigest,
         model::{AdmissionLevel, Class, Outcome, Reason, Refusal, RequestContext, RequestId},
         model::{RegionSet, ServiceKey, WorkspaceKey, begins_chain},
@@ -68,8 +68,8 @@
 pub async fn run_attempts<P: Policies>(
     node: &Arc<Node<P>>,
     call: &Call,
-    outbound: &Outbound,
-) -> Result<Answer, Refusal> {
+    outbound: &OutboundRequest,
+) -> Result<ForwardedResponse, Refusal> {
     let mut tried = Vec::new();
     let mut free_retry_count = 0;
     let mut may_have_run = false;
@@ -165,9 +165,9 @@
 async fn attempt<P: Policies>(
     node: &Arc<Node<P>>,
     call: &Call,
-    outbound: &Outbound,
+    outbound: &OutboundRequest,
     tried: &mut Vec<TargetKey>,
-) -> Result<Answer, Refusal> {
+) -> Result<ForwardedResponse, Refusal> {
     let started_us = node.timer.now_us();
     let remaining_us = call.deadline_us.saturating_sub(started_us);
     if remaining_us == 0 {
@@ -194,9 +194,9 @@
     // A target's calls without a handle belong to no chain: the downstream node could not
     // spend an allotment, and a lost response would lose the allotment too.
     let child =
-        (!P::Dialect::CALLS_LIKE_CALLERS).then(|| node.retries().allot_to_child(call.retry));
+        (!P::Dialect::CALLS_USE_CALLER_PORT).then(|| node.retries().allot_to_child(call.retry));
     let allotment = child.map_or(0, |child| child.allotment);
-    let context = context_of(call, remaining_us, allotment);
+    let context = request_context(call, remaining_us, allotment);
     let hop = match location {
         TargetLocation::Local => {
             let (result, unspent) = serve_local(node, &context, outbound).await;
@@ -212,7 +212,7 @@
                 is_guarded: false,
                 outbound,
                 buffered_bytes: node.settings.buffered_answer_bytes,
-                limit: Duration::from_micros(remaining_us),
+                time_left: Duration::from_micros(remaining_us),
                 now_unix_ms: node.timer.steady_unix_ms(),
             };
             send_while_responsive(node, call, &link, attempt).await
@@ -223,7 +223,7 @@
     }
     if let Some(level) = hop
         .level
-        .filter(|_| P::Dialect::CALLS_LIKE_CALLERS && !call.begins_chain())
+        .filter(|_| P::Dialect::CALLS_USE_CALLER_PORT && !call.begins_chain())
     {
         node.downstream().record_level(level, node.timer.now_us());
     }
@@ -242,7 +242,7 @@
 /// Sends to another node; fails with an unknown outcome at the attempt's time limit.
 pub async fn send<P: Policies>(node: &Node<P>, link: &PeerLink, attempt: Attempt<'_>) -> HopResult {
     let sending = peer::send(link, attempt, &node.auth, &node.names);
-    match tokio::time::timeout(attempt.limit, sending).await {
+    match tokio::time::timeout(attempt.time_left, sending).await {
         Ok(hop) => hop,
         Err(_) => HopResult::failed(Refusal::unknown(Reason::DeadlineExceeded), 0),
     }
@@ -265,7 +265,7 @@
 }
 
 /// Request context for the next hop; its remaining time is reduced by the margin.
-pub fn context_of(call: &Call, remaining_us: u64, allotment: u8) -> RequestContext {
+pub fn request_context(call: &Call, remaining_us: u64, allotment: u8) -> RequestContext {
     let margin_us = HOP_MARGIN_US.min(remaining_us / HOP_MARGIN_DIVISOR);
     RequestContext {
         request_id: call.request_id,
@@ -295,7 +295,7 @@
     );
 }
 
-const fn attempt_result(result: &Result<Answer, Refusal>) -> AttemptResult {
+const fn attempt_result(result: &Result<ForwardedResponse, Refusal>) -> AttemptResult {
     match result {
         Ok(_) => AttemptResult::Completed,
         Err(refusal) => match refusal.reason {
--- a/src/egress/child.rs
+++ b/src/egress/child.rs
@@ -5,10 +5,12 @@
     crate::{
         event,
         events::Event,
-        exchange::{AnswerBody, CALL, DEADLINE, Outbound, refusal_response, response_of},
+        exchange::{
+            CALL, DEADLINE, OutboundRequest, ResponseBody, refusal_response, response_from_result,
+        },
         ingress::{
             Rejection, check_head_size, check_idempotency_key, discard_body, read_body, split_path,
-            strip,
+            strip_request_headers,
         },
         model::{MAX_DEPTH, Reason, Refusal},
         node::{InFlightCall, Node, Policies, dispatch},
@@ -22,7 +24,7 @@
 pub async fn handle<P: Policies>(
     node: &Arc<Node<P>>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let _in_flight = node.begin_request();
     let (mut head, mut body) = request.into_parts();
     match serve(node, &mut head, &mut body).await {
@@ -40,7 +42,7 @@
     node: &Arc<Node<P>>,
     head: &mut Parts,
     body: &mut Incoming,
-) -> Result<Response<AnswerBody>, Rejection> {
+) -> Result<Response<ResponseBody>, Rejection> {
     let (handle, parent) = parent_call(node, &head.headers)?;
     let parent_ended = parent.ended.clone();
     let sending = send_child(node, handle, &parent, head, body);
@@ -85,7 +87,7 @@
     parent: &InFlightCall,
     head: &mut Parts,
     body: &mut Incoming,
-) -> Result<Response<AnswerBody>, Rejection> {
+) -> Result<Response<ResponseBody>, Rejection> {
     if parent.depth >= MAX_DEPTH {
         let detail = format!("a call chain may have at most {MAX_DEPTH} hops");
         return Err(Rejection::new(Refusal::not_run(Reason::TooDeep), &detail));
@@ -106,7 +108,7 @@
     let idempotency_key = check_idempotency_key(&head.headers)?;
     let body = read_body(&node.settings, &head.headers, body).await?;
     let deadline_us = child_deadline_us(node, &head.headers, parent.deadline_us)?;
-    strip(&mut head.headers, Some(&CALL));
+    strip_request_headers(&mut head.headers, Some(&CALL));
     let allotment = ChildRetryAllotment::new(node, parent.retry);
     let call = Call {
         request_id: parent.request_id,
@@ -116,11 +118,11 @@
         class: parent.class,
         deadline_us,
         depth: parent.depth + 1,
-        regions: running.regions_of(parent.workspace, None, path.path()),
+        regions: running.allowed_regions(parent.workspace, None, path.path()),
         repeatable: route.repeatable,
         retry: allotment.key,
     };
-    let outbound = Outbound {
+    let outbound = OutboundRequest {
         method: head.method.clone(),
         host: None,
         path,
@@ -132,7 +134,7 @@
     if matches!(&result, Err(refusal) if refusal.exhausted) {
         node.calls().mark_exhausted(handle);
     }
-    Ok(response_of(result))
+    Ok(response_from_result(result))
 }
 
 /// Deadline of a child call: the parent's deadline, or an earlier one that the target set.
--- a/src/egress/mod.rs
+++ b/src/egress/mod.rs
@@ -4,12 +4,12 @@
 mod attempts;
 mod child;
 
-pub use attempts::{Call, context_of, run_attempts, send};
+pub use attempts::{Call, request_context, run_attempts, send};
 
 use {
     crate::{
         dialect::Dialect,
-        exchange::{AnswerBody, ListenerLimits, serve},
+        exchange::{ListenerLimits, ResponseBody, serve},
         node::{Node, Policies},
     },
     hyper::{Request, Response, body::Incoming},
@@ -27,10 +27,10 @@
 /// Serves the local target until the node stops.
 pub async fn serve_egress<P: Policies>(node: Arc<Node<P>>, listener: TcpListener) {
     let limits = ListenerLimits {
-        connection_count: MAX_CONNECTIONS,
-        header_bytes: node.settings.max_header_bytes,
+        max_connections: MAX_CONNECTIONS,
+        max_header_bytes: node.settings.max_header_bytes,
         header_timeout: HEADER_TIMEOUT,
-        stream_count: MAX_STREAMS,
+        max_streams: MAX_STREAMS,
     };
     let stopped = node.stopped.clone();
     let handle = move |request| handle(Arc::clone(&node), request);
@@ -48,8 +48,8 @@
 async fn handle<P: Policies>(
     node: Arc<Node<P>>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
-    if P::Dialect::CALLS_LIKE_CALLERS || request.uri().path().starts_with(NODE_PATH_PREFIX) {
+) -> Response<ResponseBody> {
+    if P::Dialect::CALLS_USE_CALLER_PORT || request.uri().path().starts_with(NODE_PATH_PREFIX) {
         announce::handle(&node, request).await
     } else {
         child::handle(&node, request).await
--- a/src/exchange/body.rs
+++ b/src/exchange/body.rs
@@ -26,19 +26,19 @@
 
 /// Body of a response.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Completely buffered in memory; `None` after it was sent.
-    Whole(Option<Bytes>),
+    Buffered(Option<Bytes>),
     /// Forwarded while it arrives; an error resets the receiver's stream, so that a
     /// truncated response never looks complete.
     Streamed(mpsc::Receiver<Result<Bytes, TruncatedBody>>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Creates a buffered body.
     #[must_use]
-    pub const fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes))
+    pub const fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered(Some(bytes))
     }
 
     /// Whether the body is forwarded while it arrives.
@@ -48,7 +48,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = TruncatedBody;
 
@@ -57,7 +57,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => {
+            Self::Buffered(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
@@ -69,14 +69,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Self::Buffered(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             Self::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             Self::Streamed(_) => SizeHint::default(),
@@ -88,9 +88,9 @@
 #[derive(Debug)]
 pub enum Collected {
     /// The complete body, within the limit.
-    Whole(Bytes),
+    Complete(Bytes),
     /// The body exceeds the limit; the bytes read so far.
-    Larger(Bytes),
+    TooLarge(Bytes),
 }
 
 /// Reads a body until its end or until it exceeds the limit.
@@ -110,10 +110,10 @@
             buffer.extend_from_slice(&data);
         }
         if first.len().max(buffer.len()) > limit_bytes {
-            return Ok(Collected::Larger(join_chunks(first, buffer)));
+            return Ok(Collected::TooLarge(join_chunks(first, buffer)));
         }
     }
-    Ok(Collected::Whole(join_chunks(first, buffer)))
+    Ok(Collected::Complete(join_chunks(first, buffer)))
 }
 
 /// Reads and drops the rest of a refused request's body.
@@ -144,13 +144,13 @@
 
 /// Forwards `head` and `rest` until the end, the time limit or a closed receiver; then calls
 /// `done` with `guard` and whether the body is complete.
-pub fn pump<G: Send + 'static>(
+pub fn stream_body<G: Send + 'static>(
     head: Bytes,
     mut rest: Incoming,
     limit: Duration,
     guard: G,
     done: fn(G, bool),
-) -> AnswerBody {
+) -> ResponseBody {
     let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     tokio::spawn(async move {
         let forwarding = tokio::time::timeout(limit, forward(head, &mut rest, &sender));
@@ -162,7 +162,7 @@
             let _ = sender.send(Err(TruncatedBody)).await;
         }
     });
-    AnswerBody::Streamed(receiver)
+    ResponseBody::Streamed(receiver)
 }
 
 async fn forward(
--- a/src/exchange/listener.rs
+++ b/src/exchange/listener.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AnswerBody, EarlyResponse, Pipeline,
+        EarlyResponse, Pipeline, ResponseBody,
         prefetch::{Unread, prefetch},
         refusal_response,
     },
@@ -58,13 +58,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ListenerLimits {
     /// Concurrent connections.
-    pub connection_count: usize,
+    pub max_connections: usize,
     /// Size of a request's headers, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Time to receive the headers of a request.
     pub header_timeout: Duration,
     /// Concurrent streams of an HTTP/2 connection.
-    pub stream_count: u32,
+    pub max_streams: u32,
 }
 
 /// Handles the requests of a listener.
@@ -73,7 +73,7 @@
     fn handle(
         &self,
         request: Request<Incoming>,
-    ) -> impl Future<Output = Response<AnswerBody>> + Send + 'static;
+    ) -> impl Future<Output = Response<ResponseBody>> + Send + 'static;
 
     /// Starts a pipelined request without a body early; `None` for one that may be executed
     /// only once.
@@ -85,12 +85,12 @@
 impl<H, F> Handler for H
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     fn handle(
         &self,
         request: Request<Incoming>,
-    ) -> impl Future<Output = Response<AnswerBody>> + Send + 'static {
+    ) -> impl Future<Output = Response<ResponseBody>> + Send + 'static {
         self(request)
     }
 }
@@ -155,7 +155,7 @@
 
 impl<H: Handler> Connections<H> {
     fn start(&self, stream: TcpStream) {
-        if self.open_count.load(Ordering::Relaxed) >= self.limits.connection_count {
+        if self.open_count.load(Ordering::Relaxed) >= self.limits.max_connections {
             self.tasks.spawn(refuse_connection(stream));
             return;
         }
@@ -259,13 +259,13 @@
     handler: H,
     pipeline: Pipeline,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let early_response = pipeline.take_response(&request);
     let mut response = match early_response {
         Some(early_response) => early_response.await.unwrap_or_else(|error| {
             log::error!(target: "dogwood", "a request that was started early failed: {error}");
             // It may have run, so the status must not imply that it did not.
-            let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+            let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
             *response.status_mut() = StatusCode::BAD_GATEWAY;
             response
         }),
@@ -351,17 +351,17 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_timeout)
-        .max_buf_size(limits.header_bytes.saturating_mul(2).max(16 << 10));
+        .max_buf_size(limits.max_header_bytes.saturating_mul(2).max(16 << 10));
     builder
         .http2()
         .timer(TokioTimer::new())
-        .max_concurrent_streams(limits.stream_count)
+        .max_concurrent_streams(limits.max_streams)
         // A node may cancel many requests at once; the default limit of 20 would close its
         // connection with all other requests on it.
-        .max_pending_accept_reset_streams(limits.stream_count as usize)
+        .max_pending_accept_reset_streams(limits.max_streams as usize)
         .initial_stream_window_size(STREAM_WINDOW_BYTES)
         .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
-        .max_header_list_size(u32::try_from(limits.header_bytes * 2).unwrap_or(u32::MAX));
+        .max_header_list_size(u32::try_from(limits.max_header_bytes * 2).unwrap_or(u32::MAX));
     builder
 }
 
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -8,14 +8,14 @@
 mod response;
 
 pub use {
-    body::{AnswerBody, Collected, TruncatedBody, collect, discard, pump},
+    body::{Collected, ResponseBody, TruncatedBody, collect, discard, stream_body},
     headers::{
         ANSWER, ANSWER_AUTH, AUTH, CALL, CLOCK, CONTEXT, DEADLINE, IDEMPOTENCY_KEY, KEY, OUTCOME,
         REASON, RETRY_AFTER_MS, SHED, is_internal, strip_hop_by_hop, strip_internal,
     },
     listener::{Handler, ListenerLimits, bind, serve},
     pipeline::{EarlyResponse, Pipeline},
-    response::{Answer, refusal_response, response_of},
+    response::{ForwardedResponse, refusal_response, response_from_result},
 };
 
 use {
@@ -27,7 +27,7 @@
 ///
 /// Its headers contain neither the tenant key nor headers between nodes.
 #[derive(Debug, Clone)]
-pub struct Outbound {
+pub struct OutboundRequest {
     /// Method.
     pub method: Method,
     /// Host that the caller addressed, if the dialect forwards it to targets.
--- a/src/exchange/pipeline.rs
+++ b/src/exchange/pipeline.rs
@@ -6,7 +6,7 @@
 //! still sends the responses in order.
 
 use {
-    super::AnswerBody,
+    super::ResponseBody,
     bytes::{Buf, BytesMut},
     hyper::{
         HeaderMap, Method, Request, Response, Uri, Version,
@@ -21,7 +21,7 @@
 };
 
 /// Response of a pipelined request that was started early; dropping it cancels the request.
-pub type EarlyResponse = AbortOnDropHandle<Response<AnswerBody>>;
+pub type EarlyResponse = AbortOnDropHandle<Response<ResponseBody>>;
 
 /// Most requests of a connection that are started early at a time.
 const MAX_EARLY_REQUESTS: usize = 4;
--- a/src/exchange/response.rs
+++ b/src/exchange/response.rs
@@ -1,7 +1,7 @@
 //! Responses to callers: a target's response or a refusal.
 
 use {
-    super::{AnswerBody, OUTCOME, REASON, RETRY_AFTER_MS, strip_hop_by_hop, strip_internal},
+    super::{OUTCOME, REASON, RETRY_AFTER_MS, ResponseBody, strip_hop_by_hop, strip_internal},
     crate::model::{Outcome, Refusal},
     bytes::Bytes,
     hyper::{
@@ -15,23 +15,23 @@
 
 /// A target's response on its way back to the caller.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ForwardedResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers of the target, without internal and connection headers.
     pub headers: HeaderMap,
     /// Body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
-impl Answer {
+impl ForwardedResponse {
     /// Creates a response; removes internal and connection headers.
     #[must_use]
-    pub fn new(status: StatusCode, mut headers: HeaderMap, body: AnswerBody) -> Self {
+    pub fn new(status: StatusCode, mut headers: HeaderMap, body: ResponseBody) -> Self {
         strip_hop_by_hop(&mut headers);
         strip_internal(&mut headers);
         if !body.is_streamed()
-            && !matches!(&body, AnswerBody::Whole(Some(bytes)) if bytes.is_empty())
+            && !matches!(&body, ResponseBody::Buffered(Some(bytes)) if bytes.is_empty())
         {
             // The server sets the length of a buffered body.
             headers.remove(CONTENT_LENGTH);
@@ -46,7 +46,7 @@
 
 /// Response to the sender of a request: the target's response or a refusal.
 #[must_use]
-pub fn response_of(result: Result<Answer, Refusal>) -> Response<AnswerBody> {
+pub fn response_from_result(result: Result<ForwardedResponse, Refusal>) -> Response<ResponseBody> {
     match result {
         Ok(forwarded) => {
             let mut response = Response::new(forwarded.body);
@@ -72,7 +72,7 @@
 
 /// Response for a refusal; `detail` explains what is wrong with the request.
 #[must_use]
-pub fn refusal_response(refusal: Refusal, detail: &str) -> Response<AnswerBody> {
+pub fn refusal_response(refusal: Refusal, detail: &str) -> Response<ResponseBody> {
     let retry_after_ms = retry_after_ms(refusal);
     let body = RefusalBody {
         outcome: refusal.outcome.name(),
@@ -81,7 +81,7 @@
         retry_after_ms,
     };
     let body = serde_json::to_vec(&body).unwrap_or_default();
-    let mut response = Response::new(AnswerBody::whole(Bytes::from(body)));
+    let mut response = Response::new(ResponseBody::buffered(Bytes::from(body)));
     *response.status_mut() = status_of(refusal);
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/src/ingress/checks.rs
+++ b/src/ingress/checks.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        conf::Running,
+        conf::CompiledConfiguration,
         event,
         events::Event,
         exchange::{
@@ -77,7 +77,10 @@
 }
 
 /// Splits `/{service}/{path}` into the service and the path below it, with the query.
-pub fn split_path(running: &Running, uri: &Uri) -> Result<(ServiceKey, PathAndQuery), Rejection> {
+pub fn split_path(
+    running: &CompiledConfiguration,
+    uri: &Uri,
+) -> Result<(ServiceKey, PathAndQuery), Rejection> {
     check_path(uri.path())?;
     let full_path = uri.path_and_query().map_or("/", PathAndQuery::as_str);
     let full_path = full_path
@@ -154,7 +157,7 @@
 
 /// Removes tenant key, internal and connection headers; logs an internal header other
 /// than `expected`, since only nodes may set them.
-pub fn strip(headers: &mut HeaderMap, expected: Option<&HeaderName>) {
+pub fn strip_request_headers(headers: &mut HeaderMap, expected: Option<&HeaderName>) {
     let forged_name = headers
         .keys()
         .find(|name| is_internal(name) && Some(*name) != expected);
@@ -200,7 +203,7 @@
         Ok(Err(error)) => Err(Rejection::bad_request(&format!(
             "the body is malformed: {error}"
         ))),
-        Ok(Ok(Collected::Larger(..))) => Err(too_large()),
-        Ok(Ok(Collected::Whole(bytes))) => Ok(bytes),
+        Ok(Ok(Collected::TooLarge(..))) => Err(too_large()),
+        Ok(Ok(Collected::Complete(bytes))) => Ok(bytes),
     }
 }
--- a/src/ingress/mod.rs
+++ b/src/ingress/mod.rs
@@ -6,7 +6,7 @@
 pub use {
     checks::{
         Rejection, check_head_size, check_idempotency_key, discard_body, parse_deadline_ms,
-        read_body, split_path, strip,
+        read_body, split_path, strip_request_headers,
     },
     serve::serve_callers,
 };
--- a/src/ingress/serve.rs
+++ b/src/ingress/serve.rs
@@ -8,7 +8,10 @@
         egress::Call,
         event,
         events::Event,
-        exchange::{Answer, AnswerBody, EarlyResponse, Handler, ListenerLimits, Outbound, serve},
+        exchange::{
+            EarlyResponse, ForwardedResponse, Handler, ListenerLimits, OutboundRequest,
+            ResponseBody, serve,
+        },
         freshness::Freshness,
         keys::{KeyDigest, KeyState},
         model::{Class, Outcome, Reason, Refusal, RequestId, WorkspaceKey},
@@ -46,10 +49,10 @@
 /// Serves callers until the node's drain has closed their connections.
 pub async fn serve_callers<P: Policies>(node: Arc<Node<P>>, listener: TcpListener) {
     let limits = ListenerLimits {
-        connection_count: node.settings.max_connections,
-        header_bytes: node.settings.max_header_bytes,
+        max_connections: node.settings.max_connections,
+        max_header_bytes: node.settings.max_header_bytes,
         header_timeout: Duration::from_millis(node.settings.caller_read_timeout_ms),
-        stream_count: MAX_STREAMS,
+        max_streams: MAX_STREAMS,
     };
     let (closing, stopped) = (node.callers_closing.clone(), node.stopped.clone());
     let open_count = Arc::clone(&node.caller_connection_count);
@@ -70,7 +73,7 @@
     fn handle(
         &self,
         request: Request<Incoming>,
-    ) -> impl Future<Output = Response<AnswerBody>> + Send + 'static {
+    ) -> impl Future<Output = Response<ResponseBody>> + Send + 'static {
         let (head, body) = request.into_parts();
         handle(Arc::clone(&self.0), head, Some(body))
     }
@@ -98,7 +101,7 @@
     node: Arc<Node<P>>,
     mut head: Parts,
     mut body: Option<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let _in_flight = node.begin_request();
     let is_http1 = head.version <= Version::HTTP_11;
     let started_us = node.timer.now_us();
@@ -162,7 +165,7 @@
     head: &mut Parts,
     body: &mut Option<Incoming>,
     request_info: &mut RequestInfo,
-) -> Result<Answer, Rejection> {
+) -> Result<ForwardedResponse, Rejection> {
     request_info.request_id = node.dialect.request_id(&head.headers);
     let running = node.running();
     if running.revision == 0 {
@@ -201,15 +204,16 @@
         retry: allotment.key,
     };
     let mut headers = head.headers.clone();
-    node.dialect.clean(&mut headers, verified_workspace);
-    let outbound = Outbound {
+    node.dialect
+        .rewrite_headers(&mut headers, verified_workspace);
+    let outbound = OutboundRequest {
         method: head.method.clone(),
         host: request.host,
         path: request.path,
         headers,
         body,
     };
-    let is_target_call = request.tenant.is_none() && P::Dialect::CALLS_LIKE_CALLERS;
+    let is_target_call = request.tenant.is_none() && P::Dialect::CALLS_USE_CALLER_PORT;
     let result = dispatch(node, &call, &outbound, request.idempotency_key.as_deref()).await;
     drop(allotment);
     if request.tenant.is_some()
@@ -225,7 +229,7 @@
 
 /// Records the result of a downstream call of the local target. A call that the target
 /// cancelled is not recorded, since the future is dropped before.
-fn record_call<P: Policies>(node: &Node<P>, result: &Result<Answer, Refusal>) {
+fn record_call<P: Policies>(node: &Node<P>, result: &Result<ForwardedResponse, Refusal>) {
     let is_failure = match result {
         Ok(response) => response.status.is_server_error(),
         Err(_) => true,
--- a/src/keys/revocations.rs
+++ b/src/keys/revocations.rs
@@ -52,7 +52,7 @@
     }
 
     /// Removes what the keys document now contains; other nodes get it from there.
-    pub fn confirm(&self, in_document: &HashSet<KeyDigest>) {
+    pub fn remove_in_document(&self, in_document: &HashSet<KeyDigest>) {
         self.pending.send_if_modified(|pending| {
             let before_count = pending.len();
             if before_count > 0 {
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -7,7 +7,7 @@
 mod rate_limit;
 mod writer;
 
-pub use {line::json_line, rate_limit::LineBudget, writer::LineWriter};
+pub use {line::json_line, rate_limit::LineRateLimiter, writer::LineWriter};
 
 use {
     log::Record,
@@ -40,7 +40,7 @@
 pub fn init(level: log::LevelFilter) -> Result<(), LoggingError> {
     let appender = RateLimitedAppender {
         started_at: Instant::now(),
-        rate_limit: Mutex::new(LineBudget::new()),
+        rate_limit: Mutex::new(LineRateLimiter::new()),
         writer: LineWriter::spawn(io::stdout())?,
     };
     let config = Config::builder()
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 struct RateLimitedAppender {
     started_at: Instant,
-    rate_limit: Mutex<LineBudget>,
+    rate_limit: Mutex<LineRateLimiter>,
     writer: LineWriter,
 }
 
@@ -67,7 +67,7 @@
                 .rate_limit
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            rate_limit.spend(line::event_name(&message), record.level(), now_us)
+            rate_limit.check(line::event_name(&message), record.level(), now_us)
         };
         if !decision.should_write {
             return Ok(());
--- a/src/logging/rate_limit.rs
+++ b/src/logging/rate_limit.rs
@@ -29,11 +29,11 @@
 /// Counts the lines of each event in the current second. Pure state: performs no
 /// I/O and reads no clock.
 #[derive(Debug, Default)]
-pub struct LineBudget {
+pub struct LineRateLimiter {
     windows_by_event: HashMap<String, EventWindow>,
 }
 
-impl LineBudget {
+impl LineRateLimiter {
     /// Creates a limiter without any lines counted.
     #[must_use]
     pub fn new() -> Self {
@@ -41,7 +41,7 @@
     }
 
     /// Decides whether to write a line of this event, and counts it.
-    pub fn spend(&mut self, event: &str, level: log::Level, now_us: u64) -> LineDecision {
+    pub fn check(&mut self, event: &str, level: log::Level, now_us: u64) -> LineDecision {
         let window = self.windows_by_event.entry(event.to_owned()).or_default();
         let now_s = now_us / US_PER_S;
         if window.start_s != now_s {
--- a/src/membership/dissemination.rs
+++ b/src/membership/dissemination.rs
@@ -102,7 +102,7 @@
             revocations.push(*digest);
         }
         Packet {
-            updates: self.table.take_news(UPDATES_PER_PACKET, scope),
+            updates: self.table.take_updates(UPDATES_PER_PACKET, scope),
             revocations,
             ..self.packet_without_updates(kind, sequence, now_ms)
         }
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         CodecError, Datagram, LivenessProbe, LivenessProbes, MemberPorts, MemberProbes,
-        MemberQuestion, OwnState, PacketCodec, PeerStamp, Record, SeedAddresses, Swim, SwimEvent,
+        MemberQuery, OwnState, PacketCodec, PeerStamp, Record, SeedAddresses, Swim, SwimEvent,
         View, codec::MAX_DATAGRAM_BYTES, packet::Liveness, swim::Outgoing,
     },
     crate::{
@@ -46,7 +46,7 @@
 /// Inputs of gossip from other modules.
 pub struct GossipInputs {
     /// What this node publishes about itself.
-    pub own: watch::Receiver<OwnState>,
+    pub own_state: watch::Receiver<OwnState>,
     /// Keys that operators revoked on this node.
     pub revocations: mpsc::Receiver<Vec<KeyDigest>>,
     /// Further seed addresses.
@@ -161,7 +161,7 @@
     async fn run(
         mut self,
         mut inputs: GossipInputs,
-        mut requests: mpsc::Receiver<MemberQuestion>,
+        mut requests: mpsc::Receiver<MemberQuery>,
         shutdown: CancellationToken,
     ) {
         let mut ticks = self.timer.subscribe(GOSSIP_TICK_MS);
@@ -174,8 +174,8 @@
                 Some(tick) = ticks.next() => {
                     self.swim.tick(tick.now_ms(), &mut self.rng, &mut out, &mut events);
                 }
-                Ok(()) = inputs.own.changed() => {
-                    let own = inputs.own.borrow_and_update().clone();
+                Ok(()) = inputs.own_state.changed() => {
+                    let own = inputs.own_state.borrow_and_update().clone();
                     self.swim.set_own_state(own, self.timer.now_ms(), &mut self.rng, &mut out);
                 }
                 Some(digests) = inputs.revocations.recv() => {
@@ -196,16 +196,16 @@
         }
     }
 
-    async fn send_request(&mut self, request: MemberQuestion, out: &mut Vec<Outgoing>) {
+    async fn send_request(&mut self, request: MemberQuery, out: &mut Vec<Outgoing>) {
         let now_ms = self.timer.now_ms();
         match request {
-            MemberQuestion::Lives(node_id) => {
+            MemberQuery::Liveness(node_id) => {
                 if let Some(to) = self.swim.gossip_address(&node_id) {
                     let probe = self.liveness_probes.request(node_id, now_ms);
                     self.send_liveness_probe(probe, to).await;
                 }
             }
-            MemberQuestion::Stamp(node_id) => self.swim.request_stamp(&node_id, now_ms, out),
+            MemberQuery::Stamp(node_id) => self.swim.request_stamp(&node_id, now_ms, out),
         }
     }
 
@@ -217,13 +217,13 @@
         events: &mut Vec<SwimEvent>,
     ) {
         match self.codec.decode(datagram) {
-            Ok(Datagram::LivenessProbe(LivenessProbe::Question(number))) => {
-                self.send_liveness_probe(LivenessProbe::Answer(number), sender_address)
+            Ok(Datagram::LivenessProbe(LivenessProbe::Request(number))) => {
+                self.send_liveness_probe(LivenessProbe::Response(number), sender_address)
                     .await;
             }
-            Ok(Datagram::LivenessProbe(LivenessProbe::Answer(number))) => {
+            Ok(Datagram::LivenessProbe(LivenessProbe::Response(number))) => {
                 if let Some(node_id) = self.liveness_probes.record_response(number) {
-                    self.gossip.probes.answered(node_id);
+                    self.gossip.probes.record_response(node_id);
                 }
             }
             Ok(Datagram::Packet(packet)) => {
--- a/src/membership/joining.rs
+++ b/src/membership/joining.rs
@@ -22,9 +22,9 @@
 #[derive(Eq, Default)]
 pub struct SeedAddresses {
     /// Members of the own availability zone.
-    pub near: Vec<SocketAddr>,
+    pub same_zone: Vec<SocketAddr>,
     /// Members of other zones and members whose zone is unknown.
-    pub far: Vec<SocketAddr>,
+    pub other_zones: Vec<SocketAddr>,
 }
 
 impl Swim {
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -26,7 +26,7 @@
     liveness_probe::{LivenessProbe, LivenessProbes},
     member::{Announcement, Member, MemberPorts, MemberState, OwnState, PeerStamp, View},
     packet::{Liveness, Packet, PacketKind, Record},
-    probes::{MemberProbes, MemberQuestion},
+    probes::{MemberProbes, MemberQuery},
     relays::{RELAY_COUNT, relay_rank, relays},
     seeds::SeedsRecord,
     swim::{Outgoing, Swim, SwimEvent},
--- a/src/membership/probes.rs
+++ b/src/membership/probes.rs
@@ -8,9 +8,9 @@
 /// A request to the member with this node id.
 #[derives::value]
 #[derive(Eq)]
-pub enum MemberQuestion {
+pub enum MemberQuery {
     /// Checks whether it is alive.
-    Lives(String),
+    Liveness(String),
     /// Requests a `PeerStamp`: the documents that it holds and when their
     /// origin was last polled.
     Stamp(String),
@@ -20,7 +20,7 @@
 /// both channels.
 #[derive(Debug, Clone)]
 pub struct MemberProbes {
-    requests: mpsc::Sender<MemberQuestion>,
+    requests: mpsc::Sender<MemberQuery>,
     responses: broadcast::Sender<String>,
 }
 
@@ -28,7 +28,7 @@
     /// Creates the probes and the receiver of the requests that gossip has to
     /// send.
     #[must_use]
-    pub fn new() -> (Self, mpsc::Receiver<MemberQuestion>) {
+    pub fn new() -> (Self, mpsc::Receiver<MemberQuery>) {
         let (requests, request_receiver) = mpsc::channel(CHANNEL_LENGTH);
         let responses = broadcast::channel(CHANNEL_LENGTH).0;
         (
@@ -42,27 +42,27 @@
 
     /// Checks whether a member is alive. The request is dropped if the queue is
     /// full, since the next one follows soon.
-    pub fn ask(&self, node_id: &str) {
+    pub fn probe_liveness(&self, node_id: &str) {
         let _ = self
             .requests
-            .try_send(MemberQuestion::Lives(node_id.to_owned()));
+            .try_send(MemberQuery::Liveness(node_id.to_owned()));
     }
 
     /// Requests a stamp from a member; dropped likewise if the queue is full.
-    pub fn ask_stamp(&self, node_id: &str) {
+    pub fn request_stamp(&self, node_id: &str) {
         let _ = self
             .requests
-            .try_send(MemberQuestion::Stamp(node_id.to_owned()));
+            .try_send(MemberQuery::Stamp(node_id.to_owned()));
     }
 
     /// Subscribes to the node ids of members that respond from now on.
     #[must_use]
-    pub fn answers(&self) -> broadcast::Receiver<String> {
+    pub fn subscribe_responses(&self) -> broadcast::Receiver<String> {
         self.responses.subscribe()
     }
 
     /// Publishes that a member responded.
-    pub fn answered(&self, node_id: String) {
+    pub fn record_response(&self, node_id: String) {
         // Sending fails if there are no subscribers.
         let _ = self.responses.send(node_id);
     }
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -136,8 +136,8 @@
 
     /// Adds seed addresses; new ones are contacted from the next tick on.
     pub fn add_seeds(&mut self, seeds: &SeedAddresses) {
-        self.same_zone_seeds.extend(&seeds.near);
-        for seed in seeds.near.iter().chain(&seeds.far) {
+        self.same_zone_seeds.extend(&seeds.same_zone);
+        for seed in seeds.same_zone.iter().chain(&seeds.other_zones) {
             if !self.seeds.contains(seed) && *seed != self.own_record.gossip_address() {
                 self.seeds.push(*seed);
                 self.join_ticks_left = JOIN_TICK_COUNT;
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -223,7 +223,7 @@
 
     /// Takes up to `limit` records to send, those sent least often first, and
     /// counts the send.
-    pub fn take_news(&mut self, limit: usize, scope: Scope) -> Vec<Record> {
+    pub fn take_updates(&mut self, limit: usize, scope: Scope) -> Vec<Record> {
         let mut candidates: Vec<(u32, MemberKey)> = self
             .entries
             .iter()
--- a/src/node/guarded.rs
+++ b/src/node/guarded.rs
@@ -3,10 +3,10 @@
 use {
     super::{Node, Policies},
     crate::{
-        egress::{Call, context_of, run_attempts, send},
+        egress::{Call, request_context, run_attempts, send},
         event,
         events::Event,
-        exchange::{Answer, AnswerBody, Outbound},
+        exchange::{ForwardedResponse, OutboundRequest, ResponseBody},
         guard::{BeginDecision, ExecutionResult, GuardKey, KeyedRequest, StoredResponse},
         ingress::check_idempotency_key,
         model::{Names, Outcome, Reason, Refusal, RequestContext, ServiceKey, WorkspaceKey},
@@ -51,9 +51,9 @@
 pub async fn dispatch<P: Policies>(
     node: &Arc<Node<P>>,
     call: &Call,
-    outbound: &Outbound,
+    outbound: &OutboundRequest,
     idempotency_key: Option<&str>,
-) -> Result<Answer, Refusal> {
+) -> Result<ForwardedResponse, Refusal> {
     let Some(key_text) = idempotency_key.filter(|_| !call.repeatable) else {
         return run_attempts(node, call, outbound).await;
     };
@@ -66,7 +66,7 @@
     let home = node.guard.home(keyed.key)?;
     let remaining_us = call.deadline_us.saturating_sub(node.timer.now_us());
     let child_allotment = node.retries().allot_to_child(call.retry);
-    let context = context_of(call, remaining_us, child_allotment.allotment);
+    let context = request_context(call, remaining_us, child_allotment.allotment);
     let hop = match home {
         Home::Local => {
             let (result, unspent) = execute_once(node, &context, outbound.clone(), key_text).await;
@@ -87,8 +87,8 @@
 pub async fn serve_at_home<P: Policies>(
     node: &Arc<Node<P>>,
     context: &RequestContext,
-    outbound: Outbound,
-) -> (Result<Answer, Refusal>, u8) {
+    outbound: OutboundRequest,
+) -> (Result<ForwardedResponse, Refusal>, u8) {
     match check_idempotency_key(&outbound.headers) {
         Ok(Some(key_text)) => execute_once(node, context, outbound, &key_text).await,
         Ok(None) | Err(_) => {
@@ -102,7 +102,7 @@
     node: &Node<P>,
     home: &str,
     context: &RequestContext,
-    outbound: &Outbound,
+    outbound: &OutboundRequest,
     remaining_us: u64,
 ) -> HopResult {
     let no_home = Refusal::not_run(Reason::NoHome).with_retry_after_ms(NO_HOME_RETRY_AFTER_MS);
@@ -115,7 +115,7 @@
         is_guarded: true,
         outbound,
         buffered_bytes: node.settings.buffered_answer_bytes,
-        limit: Duration::from_micros(remaining_us),
+        time_left: Duration::from_micros(remaining_us),
         now_unix_ms: node.timer.steady_unix_ms(),
     };
     let hop = send(node, &link, attempt).await;
@@ -136,9 +136,9 @@
 async fn execute_once<P: Policies>(
     node: &Arc<Node<P>>,
     context: &RequestContext,
-    outbound: Outbound,
+    outbound: OutboundRequest,
     key_text: &str,
-) -> (Result<Answer, Refusal>, u8) {
+) -> (Result<ForwardedResponse, Refusal>, u8) {
     let scope = (context.workspace, context.service);
     let keyed = keyed_request(&node.names, scope, key_text, &outbound);
     let key = keyed.key;
@@ -161,9 +161,9 @@
 async fn run_execution<P: Policies>(
     node: Arc<Node<P>>,
     context: RequestContext,
-    outbound: Outbound,
+    outbound: OutboundRequest,
     key: GuardKey,
-) -> (Result<Answer, Refusal>, u8) {
+) -> (Result<ForwardedResponse, Refusal>, u8) {
     let _in_flight = node.begin_request();
     let retry = node.retries().open(context.retry_allotment);
     let call = Call {
@@ -184,7 +184,7 @@
     (result, unspent)
 }
 
-fn to_finish(result: &Result<Answer, Refusal>) -> ExecutionResult {
+fn to_finish(result: &Result<ForwardedResponse, Refusal>) -> ExecutionResult {
     match result {
         Ok(answer) => {
             to_stored_answer(answer).map_or(ExecutionResult::Unknown, ExecutionResult::Responded)
@@ -195,8 +195,8 @@
 }
 
 /// Converts a response for replay to resends, if it is fully buffered.
-fn to_stored_answer(answer: &Answer) -> Option<StoredResponse> {
-    let AnswerBody::Whole(Some(body)) = &answer.body else {
+fn to_stored_answer(answer: &ForwardedResponse) -> Option<StoredResponse> {
+    let ResponseBody::Buffered(Some(body)) = &answer.body else {
         return None;
     };
     let headers = answer
@@ -210,7 +210,7 @@
     })
 }
 
-fn to_answer(stored: StoredResponse) -> Answer {
+fn to_answer(stored: StoredResponse) -> ForwardedResponse {
     let mut headers = HeaderMap::new();
     for (name, value) in &stored.headers {
         let name = HeaderName::try_from(name.as_str());
@@ -219,7 +219,7 @@
         }
     }
     let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
-    Answer::new(status, headers, AnswerBody::whole(stored.body))
+    ForwardedResponse::new(status, headers, ResponseBody::buffered(stored.body))
 }
 
 /// Builds the keyed request. It hashes names, not node-local keys, so that all nodes
@@ -230,7 +230,7 @@
     names: &Names,
     (workspace, service): (WorkspaceKey, ServiceKey),
     key_text: &str,
-    outbound: &Outbound,
+    outbound: &OutboundRequest,
 ) -> KeyedRequest {
     let workspace_name = names.workspace_name(workspace);
     let service_name = names.service_name(service);
@@ -238,7 +238,7 @@
     KeyedRequest::new(workspace, &scope, key_text, fingerprint(outbound))
 }
 
-fn fingerprint(outbound: &Outbound) -> u64 {
+fn fingerprint(outbound: &OutboundRequest) -> u64 {
     let mut hash = Xxh3::new();
     let method = outbound.method.as_str().as_bytes();
     let path = outbound.path.as_str().as_bytes();
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -23,12 +23,12 @@
 use {
     crate::{
         admission::{AdmissionPolicy, DownstreamAdmission},
-        conf::{Evacuations, Running},
+        conf::{CompiledConfiguration, Evacuations},
         control::Metrics,
         dialect::{Dialect, Native},
         event,
         events::Event,
-        exchange::Outbound,
+        exchange::OutboundRequest,
         freshness::{Freshness, Snapshot},
         membership::{MemberProbes, OwnState, View},
         model::{AdmissionLevel, Class, Names, RegionKey, RegionSet, WorkspaceKey},
@@ -104,7 +104,7 @@
     /// Timer service.
     pub timer: Timer,
     /// Configuration in force; revision 0 while there is none.
-    pub running: watch::Receiver<Arc<Running>>,
+    pub running: watch::Receiver<Arc<CompiledConfiguration>>,
     /// Availability zones that get no work.
     pub evacuations: watch::Receiver<Arc<Evacuations>>,
     /// Members of the fleet as known by gossip.
@@ -164,7 +164,7 @@
     pub peers_closing: CancellationToken,
     /// Stops all tasks of the node.
     pub stopped: CancellationToken,
-    running: watch::Receiver<Arc<Running>>,
+    running: watch::Receiver<Arc<CompiledConfiguration>>,
     evacuations: watch::Receiver<Arc<Evacuations>>,
     view: watch::Receiver<Arc<View>>,
     freshness: watch::Receiver<Snapshot>,
@@ -230,7 +230,7 @@
 
     /// The configuration in force.
     #[must_use]
-    pub fn running(&self) -> Arc<Running> {
+    pub fn running(&self) -> Arc<CompiledConfiguration> {
         Arc::clone(&self.running.borrow())
     }
 
@@ -242,9 +242,9 @@
 
     /// Regions in which a request may run, by this node's configuration in force.
     #[must_use]
-    pub fn regions_of(&self, workspace: WorkspaceKey, outbound: &Outbound) -> RegionSet {
+    pub fn regions_of(&self, workspace: WorkspaceKey, outbound: &OutboundRequest) -> RegionSet {
         let (host, path) = (outbound.host.as_deref(), outbound.path.path());
-        self.running().regions_of(workspace, host, path)
+        self.running().allowed_regions(workspace, host, path)
     }
 
     /// Availability zones that get no work.
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -83,13 +83,13 @@
 fn probe_silent_nodes<P: Policies>(node: &Node<P>, now_us: u64) {
     let to_probe = node.routes().check_silence(now_us);
     for node_id in to_probe {
-        node.probes.ask(&node_id);
+        node.probes.probe_liveness(&node_id);
     }
 }
 
 /// Records responses to probes in the routing policy.
 pub async fn follow_probe_responses<P: Policies>(node: Arc<Node<P>>) {
-    let mut responses = node.probes.answers();
+    let mut responses = node.probes.subscribe_responses();
     loop {
         let response = tokio::select! {
             () = node.stopped.cancelled() => return,
--- a/src/objects/follower.rs
+++ b/src/objects/follower.rs
@@ -4,7 +4,7 @@
 use {
     super::{ObjectOrigin, ObjectStore},
     crate::{
-        documents::{Document, DocumentKind, DocumentStore, FollowerParts, Peers, spawn_follower},
+        documents::{Document, DocumentKind, DocumentStore, FollowerInputs, Peers, spawn_follower},
         freshness::{Freshness, Snapshot},
         membership::OwnState,
     },
@@ -14,7 +14,7 @@
 /// Path of a followed object.
 #[derives::value]
 #[derive(Eq)]
-pub struct FollowedName {
+pub struct FollowedObject {
     /// Kind of the object.
     pub kind: String,
     /// Name within the kind.
@@ -24,19 +24,19 @@
 /// Paths of the followed objects.
 #[derives::value]
 #[derive(Eq)]
-pub struct FollowedNames {
+pub struct FollowedObjects {
     /// The configuration object.
-    pub configuration: FollowedName,
+    pub configuration: FollowedObject,
     /// Kind of the objects named after evacuated availability zones.
     pub evacuations_kind: String,
 }
 
 /// Inputs of [`follow`].
-pub struct FollowParts<S, N> {
+pub struct ObjectFollowerInputs<S, N> {
     /// Fetches the content.
-    pub follower: FollowerParts<ObjectOrigin<S>, N>,
+    pub follower: FollowerInputs<ObjectOrigin<S>, N>,
     /// How long a confirmed poll is valid after it was sent, in milliseconds.
-    pub confirmed_ms: u64,
+    pub confirmation_ttl_ms: u64,
     /// State reported to other members. The follower updates the versions, the time
     /// of the last confirmed poll and whether calls to the origin fail.
     pub own_state: watch::Sender<OwnState>,
@@ -51,7 +51,7 @@
 /// A watch that returns nothing confirms nothing: it misses changes while the store
 /// drops its history, and a removed key would remain accepted. Only a plain read
 /// confirms, from when it was sent, since its response may be delayed for long.
-pub fn follow<S, N, A>(parts: FollowParts<S, N>, apply: A) -> watch::Receiver<Snapshot>
+pub fn follow<S, N, A>(parts: ObjectFollowerInputs<S, N>, apply: A) -> watch::Receiver<Snapshot>
 where
     S: ObjectStore,
     N: Peers,
@@ -63,9 +63,9 @@
     let followed = spawn_follower(parts.follower);
     let applier = Applier {
         documents,
-        last_confirmed_ms: followed.seen,
+        last_confirmed_ms: followed.last_confirmed_ms,
         is_origin_failing: followed.is_origin_failing,
-        confirmation_ttl_ms: parts.confirmed_ms,
+        confirmation_ttl_ms: parts.confirmation_ttl_ms,
         applied_version: 0,
         apply,
         own_state: parts.own_state,
--- a/src/objects/mod.rs
+++ b/src/objects/mod.rs
@@ -7,7 +7,7 @@
 mod origin;
 
 pub use {
-    follower::{FollowParts, FollowedName, FollowedNames, follow},
+    follower::{FollowedObject, FollowedObjects, ObjectFollowerInputs, follow},
     origin::ObjectOrigin,
 };
 
@@ -88,7 +88,7 @@
 
 /// Condition of a write.
 #[derives::key]
-pub enum Condition {
+pub enum WriteCondition {
     /// The object does not exist.
     Absent,
     /// The object has this revision.
@@ -115,7 +115,7 @@
         &self,
         kind: &str,
         name: &str,
-        condition: Condition,
+        condition: WriteCondition,
         content: Vec<u8>,
     ) -> impl Future<Output = Result<u64, StoreError>> + Send;
 }
--- a/src/objects/origin.rs
+++ b/src/objects/origin.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{
-        Change, Changes, FollowedName, FollowedNames, Listing, ObjectStore, StoreError,
+        Change, Changes, FollowedObject, FollowedObjects, Listing, ObjectStore, StoreError,
         StoredObject,
     },
     crate::{
@@ -27,7 +27,7 @@
 #[derive(Clone)]
 pub struct ObjectOrigin<S> {
     store: S,
-    followed: FollowedName,
+    followed: FollowedObject,
     evacuations_kind: String,
     documents: DocumentStore,
     watch_ms: u64,
@@ -43,7 +43,12 @@
 impl<S: ObjectStore> ObjectOrigin<S> {
     /// Creates an origin for these objects. A watch waits up to `watch_ms`;
     /// `documents` holds the evacuations that are already known.
-    pub fn new(store: S, followed: FollowedNames, documents: DocumentStore, watch_ms: u64) -> Self {
+    pub fn new(
+        store: S,
+        followed: FollowedObjects,
+        documents: DocumentStore,
+        watch_ms: u64,
+    ) -> Self {
         Self {
             store,
             followed: followed.configuration,
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -7,8 +7,8 @@
     },
     crate::{
         exchange::{
-            ANSWER, ANSWER_AUTH, AUTH, Answer, AnswerBody, CLOCK, CONTEXT, Collected,
-            IDEMPOTENCY_KEY, Outbound, collect, pump,
+            ANSWER, ANSWER_AUTH, AUTH, CLOCK, CONTEXT, Collected, ForwardedResponse,
+            IDEMPOTENCY_KEY, OutboundRequest, ResponseBody, collect, stream_body,
         },
         model::{AdmissionLevel, Names, Reason, Refusal, RequestContext},
     },
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct HopResult {
     /// The target's response, or the refusal in its place.
-    pub result: Result<Answer, Refusal>,
+    pub result: Result<ForwardedResponse, Refusal>,
     /// Unspent part of the retry allotment sent with the attempt.
     pub unspent: u8,
     /// Admission level of the peer, if it responded.
@@ -49,12 +49,12 @@
     /// Whether the peer is the home of the request's idempotency key.
     pub is_guarded: bool,
     /// The request.
-    pub outbound: &'a Outbound,
+    pub outbound: &'a OutboundRequest,
     /// Response bodies up to this size are buffered and returned only if
     /// complete; larger ones are streamed.
     pub buffered_bytes: usize,
     /// Time left until the deadline.
-    pub limit: Duration,
+    pub time_left: Duration,
     /// Current time on this node's clock.
     pub now_unix_ms: u64,
 }
@@ -203,12 +203,12 @@
 async fn read_response(
     response: Response<Incoming>,
     attempt: Attempt<'_>,
-) -> Result<Answer, Refusal> {
+) -> Result<ForwardedResponse, Refusal> {
     let (parts, mut body) = response.into_parts();
     let body = match collect(&mut body, attempt.buffered_bytes).await {
-        Ok(Collected::Whole(bytes)) => AnswerBody::whole(bytes),
-        Ok(Collected::Larger(head)) => pump(head, body, attempt.limit, (), |(), _| {}),
+        Ok(Collected::Complete(bytes)) => ResponseBody::buffered(bytes),
+        Ok(Collected::TooLarge(head)) => stream_body(head, body, attempt.time_left, (), |(), _| {}),
         Err(_) => return Err(Refusal::unknown(Reason::ConnectionLost)),
     };
-    Ok(Answer::new(parts.status, parts.headers, body))
+    Ok(ForwardedResponse::new(parts.status, parts.headers, body))
 }
--- a/src/peer/headers.rs
+++ b/src/peer/headers.rs
@@ -145,7 +145,7 @@
 
     /// Whether the tag authenticates the datagram.
     #[must_use]
-    pub fn is_tagged(&self, content: &[u8], tag: &[u8]) -> bool {
+    pub fn is_valid_tag(&self, content: &[u8], tag: &[u8]) -> bool {
         self.verify(&[content], tag)
     }
 
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -9,8 +9,8 @@
         event,
         events::Event,
         exchange::{
-            ANSWER, ANSWER_AUTH, AUTH, AnswerBody, CLOCK, CONTEXT, Collected, IDEMPOTENCY_KEY,
-            ListenerLimits, Outbound, collect, refusal_response, response_of, serve,
+            ANSWER, ANSWER_AUTH, AUTH, CLOCK, CONTEXT, Collected, IDEMPOTENCY_KEY, ListenerLimits,
+            OutboundRequest, ResponseBody, collect, refusal_response, response_from_result, serve,
             strip_hop_by_hop, strip_internal,
         },
         model::{Reason, Refusal},
@@ -35,10 +35,10 @@
 /// Continues during a drain, so that attempts already sent get a response.
 pub async fn serve_peers<P: Policies>(node: Arc<Node<P>>, listener: TcpListener) {
     let limits = ListenerLimits {
-        connection_count: MAX_CONNECTION_COUNT,
-        header_bytes: node.settings.max_header_bytes + ADDED_HEADER_BYTES,
+        max_connections: MAX_CONNECTION_COUNT,
+        max_header_bytes: node.settings.max_header_bytes + ADDED_HEADER_BYTES,
         header_timeout: HEADER_TIMEOUT,
-        stream_count: MAX_STREAM_COUNT,
+        max_streams: MAX_STREAM_COUNT,
     };
     let (closing, stopped) = (node.peers_closing.clone(), node.stopped.clone());
     let open_count = Arc::clone(&node.peer_connection_count);
@@ -49,7 +49,7 @@
 async fn handle<P: Policies>(
     node: Arc<Node<P>>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let attempt = match authentic_context(&node, &request) {
         Ok(attempt) => attempt,
         Err(PeerHeaderError::TimestampOutOfRange { attempt_id }) => {
@@ -78,7 +78,7 @@
     };
     let value = encode_response_metadata(&metadata);
     let proof = node.auth.sign(&[value.as_bytes()]);
-    let mut response = response_of(result);
+    let mut response = response_from_result(result);
     response.headers_mut().insert(ANSWER, value);
     response.headers_mut().insert(ANSWER_AUTH, proof);
     response
@@ -114,7 +114,7 @@
 
 /// Reports this node's clock to a node of the fleet whose timestamp is out of
 /// range. The attempt was not processed.
-fn send_clock<P: Policies>(node: &Node<P>, attempt_id: u64) -> Response<AnswerBody> {
+fn send_clock<P: Policies>(node: &Node<P>, attempt_id: u64) -> Response<ResponseBody> {
     event!(Event::ClockDiffers, "port=peer");
     let refusal = Refusal::not_run(Reason::NotAuthentic);
     let mut response = refusal_response(refusal, "the clocks of the nodes differ");
@@ -126,13 +126,13 @@
     response
 }
 
-fn refuse_forged(method: &Method) -> Response<AnswerBody> {
+fn refuse_forged(method: &Method) -> Response<ResponseBody> {
     event!(Event::ContextForged, "port=peer method={method}");
     let refusal = Refusal::not_run(Reason::NotAuthentic);
     refusal_response(refusal, "only nodes of the fleet may use this port")
 }
 
-fn matches_digest(outbound: &Outbound, content: ContentDigest) -> bool {
+fn matches_digest(outbound: &OutboundRequest, content: ContentDigest) -> bool {
     let idempotency_key = outbound.headers.get(IDEMPOTENCY_KEY);
     ContentDigest::new(idempotency_key, &outbound.body) == content
 }
@@ -140,18 +140,18 @@
 async fn read_request<P: Policies>(
     node: &Node<P>,
     request: Request<Incoming>,
-) -> Result<Outbound, Refusal> {
+) -> Result<OutboundRequest, Refusal> {
     let (mut parts, mut body) = request.into_parts();
     let body = match collect(&mut body, node.settings.max_body_bytes).await {
-        Ok(Collected::Whole(bytes)) => bytes,
-        Ok(Collected::Larger(..)) => return Err(Refusal::not_run(Reason::TooLarge)),
+        Ok(Collected::Complete(bytes)) => bytes,
+        Ok(Collected::TooLarge(..)) => return Err(Refusal::not_run(Reason::TooLarge)),
         Err(_) => return Err(Refusal::not_run(Reason::BadRequest)),
     };
     strip_internal(&mut parts.headers);
     strip_hop_by_hop(&mut parts.headers);
     let uri = parts.uri.into_parts();
     let path = uri.path_and_query;
-    Ok(Outbound {
+    Ok(OutboundRequest {
         method: parts.method,
         host: uri.authority.map(|authority| authority.to_string()),
         path: path.unwrap_or_else(|| PathAndQuery::from_static("/")),
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Object, PlatformError, WatchResult, Write,
+        Object, PlatformError, WatchResult, WriteOutcome,
         exchange::{PlatformResponse, exchange},
     },
     crate::{
@@ -98,7 +98,7 @@
 
     /// Sets the timeout of calls that do not wait for a change.
     #[must_use]
-    pub const fn with_call_limit_ms(mut self, timeout_ms: u64) -> Self {
+    pub const fn with_call_timeout_ms(mut self, timeout_ms: u64) -> Self {
         self.call_timeout_ms = timeout_ms;
         self
     }
@@ -164,27 +164,27 @@
     }
 
     /// Replaces an object that has version `if_version`; 0 if it must not exist.
-    pub async fn write(&self, name: &str, if_version: u64, content: Vec<u8>) -> Write {
+    pub async fn write(&self, name: &str, if_version: u64, content: Vec<u8>) -> WriteOutcome {
         let byte_count = content.len();
         if byte_count > MAX_OBJECT_BYTES {
-            return Write::Refused(PlatformError::TooLarge { byte_count });
+            return WriteOutcome::Refused(PlatformError::TooLarge { byte_count });
         }
         let response = match self.put(name, if_version, content).await {
             Ok(response) => response,
             Err(error @ (PlatformError::Unreachable(_) | PlatformError::BadRequest(_))) => {
-                return Write::Refused(error);
+                return WriteOutcome::Refused(error);
             }
-            Err(error) => return Write::Unknown(error),
+            Err(error) => return WriteOutcome::Unknown(error),
         };
         match (response.status, response.version()) {
-            (StatusCode::OK, Ok(version)) => Write::Written(version),
-            (StatusCode::CONFLICT, Ok(version)) => Write::Conflict(version),
+            (StatusCode::OK, Ok(version)) => WriteOutcome::Written(version),
+            (StatusCode::CONFLICT, Ok(version)) => WriteOutcome::Conflict(version),
             (StatusCode::PAYLOAD_TOO_LARGE, _) => {
-                Write::Refused(PlatformError::TooLarge { byte_count })
+                WriteOutcome::Refused(PlatformError::TooLarge { byte_count })
             }
-            (StatusCode::OK | StatusCode::CONFLICT, Err(error)) => Write::Unknown(error),
-            (status, _) if status.is_client_error() => Write::Refused(status_error(status)),
-            (status, _) => Write::Unknown(status_error(status)),
+            (StatusCode::OK | StatusCode::CONFLICT, Err(error)) => WriteOutcome::Unknown(error),
+            (status, _) if status.is_client_error() => WriteOutcome::Refused(status_error(status)),
+            (status, _) => WriteOutcome::Unknown(status_error(status)),
         }
     }
 
@@ -279,9 +279,9 @@
 impl DocumentWriter for Platform {
     async fn write(&self, kind: DocumentKind, if_version: u64, content: Vec<u8>) -> WriteResult {
         match Self::write(self, kind.name(), if_version, content).await {
-            Write::Written(version) => WriteResult::Written(version),
-            Write::Conflict(version) => WriteResult::Conflict(version),
-            Write::Refused(error) | Write::Unknown(error) => {
+            WriteOutcome::Written(version) => WriteResult::Written(version),
+            WriteOutcome::Conflict(version) => WriteResult::Conflict(version),
+            WriteOutcome::Refused(error) | WriteOutcome::Unknown(error) => {
                 log::debug!(target: "dogwood", "write of {} failed: {error}", kind.name());
                 WriteResult::Unknown
             }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -12,5 +12,5 @@
 
 pub use {
     client::{CallCounts, MAX_OBJECT_BYTES, Platform},
-    outcome::{Object, PlatformError, WatchResult, Write},
+    outcome::{Object, PlatformError, WatchResult, WriteOutcome},
 };
--- a/src/platform/origin.rs
+++ b/src/platform/origin.rs
@@ -13,7 +13,7 @@
 
 impl Platform {
     /// When members poll the platform.
-    pub const LOOK_BOUNDS: PollBounds = PollBounds {
+    pub const POLL_BOUNDS: PollBounds = PollBounds {
         period_ms: 1000,
         start_delay_ms: 600,
         first_relay_age_ms: 0,
--- a/src/platform/outcome.rs
+++ b/src/platform/outcome.rs
@@ -14,7 +14,7 @@
 
 /// Result of a conditional write.
 #[derive(Debug)]
-pub enum Write {
+pub enum WriteOutcome {
     /// The write took effect; the new version.
     Written(u64),
     /// The write had no effect; the current version.
--- a/src/quota/sharing.rs
+++ b/src/quota/sharing.rs
@@ -343,7 +343,7 @@
     fn decode(&self, datagram: &[u8]) -> Option<Message> {
         let length = datagram.len().checked_sub(TAG_BYTES)?;
         let (content, tag) = datagram.split_at(length);
-        if !self.inputs.auth.is_tagged(content, tag) {
+        if !self.inputs.auth.is_valid_tag(content, tag) {
             return None;
         }
         postcard::from_bytes(content).ok()
--- a/src/rpc/counters.rs
+++ b/src/rpc/counters.rs
@@ -65,7 +65,7 @@
 impl RpcCounters {
     /// Counters of a kind.
     #[must_use]
-    pub fn of(&self, kind: CallKind) -> CallCount {
+    pub fn for_kind(&self, kind: CallKind) -> CallCount {
         CallCount {
             call_count: self.calls[kind as usize].load(Ordering::Relaxed),
             byte_count: self.bytes[kind as usize].load(Ordering::Relaxed),
--- a/src/target/exchange.rs
+++ b/src/target/exchange.rs
@@ -4,7 +4,7 @@
     super::{PoolError, PooledConnection, TargetPool},
     crate::{
         dialect::{Dialect, TargetCall, TargetSignal},
-        exchange::Outbound,
+        exchange::OutboundRequest,
         model::{Reason, Refusal},
     },
     bytes::Bytes,
@@ -36,7 +36,7 @@
     dialect: &D,
     pool: &Arc<TargetPool>,
     handle: u128,
-    outbound: &Outbound,
+    outbound: &OutboundRequest,
     remaining_ms: u64,
     try_pass: impl Fn() -> Result<(), Refusal>,
 ) -> Result<TargetResponse, Refusal> {
@@ -54,14 +54,14 @@
             remaining_ms,
             instance_id: &instance_id,
             host: outbound.host.as_deref(),
-            sent: &outbound.headers,
+            sent_headers: &outbound.headers,
         };
         let mut request = build_request(outbound);
-        dialect.address(&mut request, &call);
+        dialect.complete_request(&mut request, &call);
         try_pass()?;
         match sender.try_send_request(request).await {
             Ok(response) => {
-                let signal = dialect.judge(&outbound.method, &call, &response);
+                let signal = dialect.classify_response(&outbound.method, &call, &response);
                 return Ok(TargetResponse {
                     response,
                     connection,
@@ -80,7 +80,7 @@
     Err(Refusal::not_run(Reason::ConnectionLost))
 }
 
-fn build_request(outbound: &Outbound) -> Request<Full<Bytes>> {
+fn build_request(outbound: &OutboundRequest) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outbound.body.clone()));
     *request.method_mut() = outbound.method.clone();
     *request.uri_mut() = Uri::from(outbound.path.clone());
--- a/src/target/serve.rs
+++ b/src/target/serve.rs
@@ -9,7 +9,9 @@
         admission::{Arrival, LoadReport, TargetResult},
         event,
         events::Event,
-        exchange::{Answer, AnswerBody, Collected, Outbound, collect, pump},
+        exchange::{
+            Collected, ForwardedResponse, OutboundRequest, ResponseBody, collect, stream_body,
+        },
         model::{
             Class, MAX_DEPTH, Outcome, Reason, Refusal, RequestContext, ServiceKey, WorkspaceKey,
             begins_chain,
@@ -71,7 +73,11 @@
 
     /// Completes the request with a refusal, marked as exhausted if a child call
     /// exhausted its retries: retrying further up would multiply those retries.
-    fn fail(self, result: TargetResult, refusal: Refusal) -> (Result<Answer, Refusal>, u8) {
+    fn fail(
+        self,
+        result: TargetResult,
+        refusal: Refusal,
+    ) -> (Result<ForwardedResponse, Refusal>, u8) {
         let remainder = self.call.end();
         self.ticket.end(result);
         let exhausted = refusal.exhausted || remainder.is_exhausted;
@@ -88,8 +94,8 @@
 pub async fn serve_local<P: Policies>(
     node: &Arc<Node<P>>,
     context: &RequestContext,
-    outbound: &Outbound,
-) -> (Result<Answer, Refusal>, u8) {
+    outbound: &OutboundRequest,
+) -> (Result<ForwardedResponse, Refusal>, u8) {
     let served = serve(node, context, outbound).await;
     if let Err(refusal) = &served.0 {
         log_refusal(node, context, *refusal);
@@ -115,8 +121,8 @@
 async fn serve<P: Policies>(
     node: &Arc<Node<P>>,
     context: &RequestContext,
-    outbound: &Outbound,
-) -> (Result<Answer, Refusal>, u8) {
+    outbound: &OutboundRequest,
+) -> (Result<ForwardedResponse, Refusal>, u8) {
     let refused = |refusal| (Err(refusal), context.retry_allotment);
     if context.depth > MAX_DEPTH {
         return refused(Refusal::not_run(Reason::TooDeep));
@@ -245,9 +251,9 @@
     node: &Arc<Node<P>>,
     context: &RequestContext,
     running: RunningRequest<P>,
-    outbound: &Outbound,
+    outbound: &OutboundRequest,
     remaining_us: u64,
-) -> (Result<Answer, Refusal>, u8) {
+) -> (Result<ForwardedResponse, Refusal>, u8) {
     let handle = running.call.handle();
     let remaining_ms = remaining_us / 1000;
     let try_pass = || try_pass_gate(node, context);
@@ -271,7 +277,7 @@
     running: RunningRequest<P>,
     target_response: TargetResponse,
     remaining_us: u64,
-) -> (Result<Answer, Refusal>, u8) {
+) -> (Result<ForwardedResponse, Refusal>, u8) {
     let TargetResponse {
         response,
         connection,
@@ -302,25 +308,31 @@
     }
     match collect(&mut body, node.settings.buffered_answer_bytes).await {
         Err(_) => running.fail(TargetResult::Failed, Refusal::unknown(Reason::BadAnswer)),
-        Ok(Collected::Whole(bytes)) => {
+        Ok(Collected::Complete(bytes)) => {
             connection.return_to_pool(signal.idle_limit);
             if let Some(refusal) = signal.refusal {
                 return running.fail(result, refusal);
             }
             let unspent = running.end(result);
-            let body = AnswerBody::whole(bytes);
-            (Ok(Answer::new(parts.status, parts.headers, body)), unspent)
+            let body = ResponseBody::buffered(bytes);
+            (
+                Ok(ForwardedResponse::new(parts.status, parts.headers, body)),
+                unspent,
+            )
         }
-        Ok(Collected::Larger(head)) => {
+        Ok(Collected::TooLarge(head)) => {
             let limit = Duration::from_micros(remaining_us);
             let stream = StreamedResponse {
                 running,
                 connection,
                 idle_limit: signal.idle_limit,
             };
-            let body = pump(head, body, limit, stream, finish_stream);
+            let body = stream_body(head, body, limit, stream, finish_stream);
             // The call still runs and may spend its retry allotment.
-            (Ok(Answer::new(parts.status, parts.headers, body)), 0)
+            (
+                Ok(ForwardedResponse::new(parts.status, parts.headers, body)),
+                0,
+            )
         }
     }
 }
--- a/tests/callers_pipeline.rs
+++ b/tests/callers_pipeline.rs
@@ -1,7 +1,7 @@
 //! HTTP/1 pipelining: requests sent before the response to the previous one.
 
 use {
-    dogwoodbridge::exchange::{AnswerBody, EarlyResponse, Pipeline},
+    dogwoodbridge::exchange::{EarlyResponse, Pipeline, ResponseBody},
     hyper::{Request, Response, http::request::Parts},
     std::cell::RefCell,
 };
@@ -11,7 +11,7 @@
 
 fn start_early(paths: &RefCell<Vec<String>>, parts: &Parts) -> Option<EarlyResponse> {
     paths.borrow_mut().push(parts.uri.path().to_owned());
-    let response = async { Response::new(AnswerBody::whole("early".into())) };
+    let response = async { Response::new(ResponseBody::buffered("early".into())) };
     Some(EarlyResponse::new(tokio::spawn(response)))
 }
 
@@ -121,7 +121,7 @@
         let response = async move {
             let _sender_guard = sender_guard;
             std::future::pending::<()>().await;
-            Response::new(AnswerBody::whole("never".into()))
+            Response::new(ResponseBody::buffered("never".into()))
         };
         Some(EarlyResponse::new(tokio::spawn(response)))
     });
--- a/tests/cli_evacuate.rs
+++ b/tests/cli_evacuate.rs
@@ -42,7 +42,7 @@
     ];
     for step in steps {
         fake.set_faults(Faults {
-            lost_after_count: 1,
+            lost_response_count: 1,
             ..Faults::default()
         });
         let arguments = [step.arguments, &["--platform", &platform]].concat();
--- a/tests/cli_keys.rs
+++ b/tests/cli_keys.rs
@@ -57,7 +57,7 @@
     let platform = fake.address.to_string();
     assert_eq!(publish(&fake, &[]).await.code, 0);
     fake.set_faults(Faults {
-        lost_after_count: 1,
+        lost_response_count: 1,
         ..Faults::default()
     });
     let create = [
@@ -89,7 +89,7 @@
     let platform = fake.address.to_string();
     assert_eq!(publish(&fake, &[]).await.code, 0);
     fake.set_faults(Faults {
-        all_answers_lost: true,
+        all_responses_lost: true,
         ..Faults::default()
     });
     let key = KeyDigest::of_key(KEY).to_string();
--- a/tests/cli_publish.rs
+++ b/tests/cli_publish.rs
@@ -37,7 +37,7 @@
         PublishCase {
             name: "answer lost after it took effect",
             faults: Faults {
-                lost_after_count: 1,
+                lost_response_count: 1,
                 ..fault()
             },
             code: 0,
@@ -47,7 +47,7 @@
         PublishCase {
             name: "all answers to writes are lost",
             faults: Faults {
-                all_answers_lost: true,
+                all_responses_lost: true,
                 ..fault()
             },
             code: 0,
@@ -57,7 +57,7 @@
         PublishCase {
             name: "write lost before it took effect",
             faults: Faults {
-                lost_before_count: 1,
+                lost_write_count: 1,
                 ..fault()
             },
             code: 0,
@@ -67,7 +67,7 @@
         PublishCase {
             name: "another operator is first",
             faults: Faults {
-                racer: Some(published_by("bob")),
+                concurrent_write: Some(published_by("bob")),
                 ..fault()
             },
             code: 1,
@@ -77,8 +77,8 @@
         PublishCase {
             name: "lost before, then another operator is first",
             faults: Faults {
-                lost_before_count: 1,
-                racer: Some(published_by("bob")),
+                lost_write_count: 1,
+                concurrent_write: Some(published_by("bob")),
                 ..fault()
             },
             code: 1,
@@ -88,8 +88,8 @@
         PublishCase {
             name: "answer lost, then another operator publishes on top",
             faults: Faults {
-                lost_after_count: 1,
-                racer: Some(published_by("bob")),
+                lost_response_count: 1,
+                concurrent_write: Some(published_by("bob")),
                 ..fault()
             },
             code: 1,
@@ -99,7 +99,7 @@
         PublishCase {
             name: "no write is ever answered",
             faults: Faults {
-                lost_before_count: 1_000,
+                lost_write_count: 1_000,
                 ..fault()
             },
             code: 3,
@@ -152,7 +152,7 @@
     fake.put("configuration", &published_by("eve"));
     fake.set_faults(Faults {
         stale: true,
-        racer: Some(published_by("bob")),
+        concurrent_write: Some(published_by("bob")),
         ..Faults::default()
     });
     let catch_up = async {
--- a/tests/conf.rs
+++ b/tests/conf.rs
@@ -3,8 +3,8 @@
 use {
     dogwoodbridge::{
         conf::{
-            CheckError, ConfigurationRecord, Problem, Publication, RulesRecord, Running, check_dir,
-            compile, covers, parse_path, spawn_in_force,
+            CheckError, CompiledConfiguration, ConfigurationRecord, Problem, Publication,
+            RulesRecord, check_dir, compile, covers, parse_path, spawn_configuration_task,
         },
         documents::{Document, DocumentKind, DocumentStore},
         keys::{KeyDigest, KeyState, KeysRecord, Revocations},
@@ -513,7 +513,7 @@
 struct Fixture {
     store: DocumentStore,
     revocations: Revocations,
-    configuration: watch::Receiver<Arc<Running>>,
+    configuration: watch::Receiver<Arc<CompiledConfiguration>>,
     shutdown: CancellationToken,
 }
 
@@ -522,7 +522,8 @@
         let store = DocumentStore::new();
         let revocations = Revocations::new();
         let shutdown = CancellationToken::new();
-        let configuration = spawn_in_force(&store, &revocations, Names::new(), shutdown.clone());
+        let configuration =
+            spawn_configuration_task(&store, &revocations, Names::new(), shutdown.clone());
         Self {
             store,
             revocations,
@@ -531,7 +532,7 @@
         }
     }
 
-    async fn wait_until(&mut self, condition: impl FnMut(&Arc<Running>) -> bool) {
+    async fn wait_until(&mut self, condition: impl FnMut(&Arc<CompiledConfiguration>) -> bool) {
         timeout(
             Duration::from_secs(20),
             self.configuration.wait_for(condition),
--- a/tests/datapath.rs
+++ b/tests/datapath.rs
@@ -4,13 +4,13 @@
 
 use {
     local_mesh::{
-        client::{self, Seen},
+        client::{self, CallerResponse},
         mesh::{KEY, Mesh, REVOKED_KEY},
     },
     std::time::Duration,
 };
 
-async fn get(mesh: &Mesh, entry: usize, path: &str) -> Seen {
+async fn get(mesh: &Mesh, entry: usize, path: &str) -> CallerResponse {
     let request = client::request("GET", path, &[("dogwood-key", KEY)], b"");
     client::send(mesh[entry].caller_address(), request).await
 }
--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -5,7 +5,7 @@
 use {
     dogwoodbridge::{
         documents::{
-            Document, DocumentKind, DocumentStore, FollowerParts, Hint, Peers, Versions,
+            Document, DocumentKind, DocumentStore, FollowerInputs, Hint, Peers, Versions,
             spawn_follower,
         },
         membership::{
@@ -188,18 +188,18 @@
         let shutdown = CancellationToken::new();
         let timer = Timer::new(shutdown.clone());
         let store = DocumentStore::new();
-        let platform = Platform::new(fake.address).with_call_limit_ms(500);
+        let platform = Platform::new(fake.address).with_call_timeout_ms(500);
         let peers = FakePeers::default();
         let (view, view_receiver) = watch::channel(members.clone());
         let (stamps, stamp_receiver) = broadcast::channel(64);
         let (hints, hint_receiver) = mpsc::channel(64);
-        let followed = spawn_follower(FollowerParts {
+        let followed = spawn_follower(FollowerInputs {
             node_id: node_id.to_owned(),
             zone: zone.to_owned(),
             store: store.clone(),
             origin: platform.clone(),
-            bounds: Platform::LOOK_BOUNDS,
-            neighbours: peers.clone(),
+            bounds: Platform::POLL_BOUNDS,
+            peers: peers.clone(),
             view: view_receiver,
             probes: MemberProbes::new().0,
             stamps: stamp_receiver,
@@ -215,7 +215,7 @@
             stamps,
             hints,
             timer,
-            last_confirmed_ms: followed.seen,
+            last_confirmed_ms: followed.last_confirmed_ms,
             shutdown,
         }
     }
--- a/tests/documents_schedule.rs
+++ b/tests/documents_schedule.rs
@@ -5,7 +5,7 @@
     rand::{Rng, SeedableRng, rngs::StdRng},
 };
 
-const BOUNDS: PollBounds = PollBounds::PAID;
+const BOUNDS: PollBounds = PollBounds::METERED_API;
 
 const fn role(rank: Option<usize>, member_count: usize) -> PollRole {
     PollRole {
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -3,7 +3,7 @@
 mod local_mesh;
 
 use {
-    dogwoodbridge::conf::{Evacuations, Running},
+    dogwoodbridge::conf::{CompiledConfiguration, Evacuations},
     local_mesh::{
         client,
         mesh::{Instance, KEY, Mesh},
@@ -21,14 +21,14 @@
     instance.evacuations.send_replace(evacuations);
 }
 
-async fn get(instance: &Instance) -> client::Seen {
+async fn get(instance: &Instance) -> client::CallerResponse {
     let headers = [("dogwood-key", KEY)];
     let request = client::request("GET", "/a/echo", &headers, b"");
     client::send(instance.caller_address(), request).await
 }
 
 /// Sends requests until a response has this status; returns that response.
-async fn get_until(instance: &Instance, status: u16) -> client::Seen {
+async fn get_until(instance: &Instance, status: u16) -> client::CallerResponse {
     let started = tokio::time::Instant::now();
     loop {
         let response = get(instance).await;
@@ -100,7 +100,7 @@
     const COLD_RATE_PER_S: u32 = 10;
     let mesh = Mesh::start(&["a"]).await;
     let instance = &mesh.instances[0];
-    let mut running = Running::clone(&instance.node.running());
+    let mut running = CompiledConfiguration::clone(&instance.node.running());
     let service = instance.node.names.service("a");
     running.cold_rates_per_s.insert(service, COLD_RATE_PER_S);
     instance.running.send_replace(Arc::new(running));
--- a/tests/keyed.rs
+++ b/tests/keyed.rs
@@ -4,13 +4,13 @@
 
 use {
     local_mesh::{
-        client::{self, Seen},
+        client::{self, CallerResponse},
         mesh::{KEY, Mesh},
     },
     std::{sync::Arc, time::Duration},
 };
 
-async fn submit(mesh: &Mesh, entry: usize, key: &str, path: &str, body: &[u8]) -> Seen {
+async fn submit(mesh: &Mesh, entry: usize, key: &str, path: &str, body: &[u8]) -> CallerResponse {
     let headers = [("dogwood-key", KEY), ("idempotency-key", key)];
     let request = client::request("POST", path, &headers, body);
     client::send(mesh[entry].caller_address(), request).await
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -138,9 +138,9 @@
     assert!(!revocations.apply(digest));
     assert_eq!(added.recv().await.expect("sent"), digest);
     assert!(added.try_recv().is_err());
-    revocations.confirm(&HashSet::from([KeyDigest::of_key("k2")]));
+    revocations.remove_in_document(&HashSet::from([KeyDigest::of_key("k2")]));
     assert!(revocations.pending().contains(&digest));
-    revocations.confirm(&HashSet::from([digest]));
+    revocations.remove_in_document(&HashSet::from([digest]));
     assert!(revocations.pending().is_empty());
 }
 
--- a/tests/listener_close.rs
+++ b/tests/listener_close.rs
@@ -2,7 +2,7 @@
 
 use {
     bytes::Bytes,
-    dogwoodbridge::exchange::{AnswerBody, ListenerLimits, bind, serve},
+    dogwoodbridge::exchange::{ListenerLimits, ResponseBody, bind, serve},
     hyper::{Request, Response, body::Incoming},
     std::{
         io::Write,
@@ -27,14 +27,14 @@
 const BLOCKED_UNTIL: Duration = Duration::from_millis(1100);
 
 const LIMITS: ListenerLimits = ListenerLimits {
-    connection_count: 100,
-    header_bytes: 8 << 10,
+    max_connections: 100,
+    max_header_bytes: 8 << 10,
     header_timeout: Duration::from_secs(10),
-    stream_count: 10,
+    max_streams: 10,
 };
 
-async fn respond(_request: Request<Incoming>) -> Response<AnswerBody> {
-    Response::new(AnswerBody::whole(Bytes::from_static(b"done")))
+async fn respond(_request: Request<Incoming>) -> Response<ResponseBody> {
+    Response::new(ResponseBody::buffered(Bytes::from_static(b"done")))
 }
 
 struct Fixture {
--- a/tests/local_mesh/client.rs
+++ b/tests/local_mesh/client.rs
@@ -11,14 +11,14 @@
 
 /// Response as received by a caller.
 #[derive(Debug)]
-pub struct Seen {
+pub struct CallerResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     /// The complete body, or `None` if it was truncated.
     pub body: Option<Bytes>,
 }
 
-impl Seen {
+impl CallerResponse {
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
@@ -69,17 +69,17 @@
 pub async fn exchange(
     sender: &mut http1::SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
-) -> Seen {
+) -> CallerResponse {
     sender.ready().await.unwrap();
     let response = sender.send_request(request).await.unwrap();
     let (parts, body) = response.into_parts();
-    Seen {
+    CallerResponse {
         status: parts.status,
         headers: parts.headers,
         body: body.collect().await.ok().map(|body| body.to_bytes()),
     }
 }
 
-pub async fn send(address: SocketAddr, request: Request<Full<Bytes>>) -> Seen {
+pub async fn send(address: SocketAddr, request: Request<Full<Bytes>>) -> CallerResponse {
     exchange(&mut connect(address).await, request).await
 }
--- a/tests/local_mesh/mesh.rs
+++ b/tests/local_mesh/mesh.rs
@@ -8,13 +8,11 @@
     clap::Parser,
     dogwoodbridge::{
         admission::AdmitAll,
-        conf::{Evacuations, RouteRules, Running, ServiceRules, WorkspaceRules},
+        conf::{CompiledConfiguration, Evacuations, RouteRules, ServiceRules, WorkspaceRules},
         dialect::Native,
         freshness::{Freshness, Snapshot},
         keys::KeyDigest,
-        membership::{
-            Member, MemberPorts, MemberProbes, MemberQuestion, MemberState, OwnState, View,
-        },
+        membership::{Member, MemberPorts, MemberProbes, MemberQuery, MemberState, OwnState, View},
         model::{Class, Names, RegionSet},
         node::{Node, NodeInputs, PolicySet, start},
         quota::Rate,
@@ -53,7 +51,7 @@
 pub struct Instance {
     pub node: Arc<TestNode>,
     pub target: Arc<Target>,
-    pub running: watch::Sender<Arc<Running>>,
+    pub running: watch::Sender<Arc<CompiledConfiguration>>,
     pub evacuations: watch::Sender<Arc<Evacuations>>,
     pub freshness: watch::Sender<Snapshot>,
     pub tasks: TaskTracker,
@@ -129,7 +127,7 @@
     }
 
     /// Adds a member that claims to have a target of this service at this address.
-    pub async fn add_stranger(&self, node_id: &str, service: &str, address: SocketAddr) {
+    pub async fn add_fake_member(&self, node_id: &str, service: &str, address: SocketAddr) {
         let mut member = member_of(&self.instances[0]);
         member.node_id = node_id.to_owned();
         member.ip = address.ip();
@@ -273,18 +271,18 @@
     let responder = probes.clone();
     tokio::spawn(async move {
         while let Some(question) = questions.recv().await {
-            if let MemberQuestion::Lives(node_id) = question {
-                responder.answered(node_id);
+            if let MemberQuery::Liveness(node_id) = question {
+                responder.record_response(node_id);
             }
         }
     });
     probes
 }
 
-fn configuration(names: &Names, services: &[&str]) -> Running {
-    let mut running = Running {
+fn configuration(names: &Names, services: &[&str]) -> CompiledConfiguration {
+    let mut running = CompiledConfiguration {
         revision: 1,
-        ..Running::default()
+        ..CompiledConfiguration::default()
     };
     // "x" is a service that only fake members claim to have.
     for service in services.iter().chain(&["x"]) {
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,7 +1,7 @@
 //! Log line format, rate limit, and behaviour when the reader of the output stops.
 
 use {
-    dogwoodbridge::logging::{LineBudget, LineWriter, json_line},
+    dogwoodbridge::logging::{LineRateLimiter, LineWriter, json_line},
     log::Level,
     std::{
         io::{self, Write},
@@ -42,19 +42,19 @@
 /// would use the CPU time needed to serve the others.
 #[test]
 fn lines_per_event_are_limited_and_suppressed_lines_counted() {
-    let mut rate_limit = LineBudget::new();
+    let mut rate_limit = LineRateLimiter::new();
     let mut written_count = 0;
     for index in 0..5000_u64 {
-        let decision = rate_limit.spend("RequestRefused", Level::Info, index * 200);
+        let decision = rate_limit.check("RequestRefused", Level::Info, index * 200);
         written_count += u64::from(decision.should_write);
     }
     assert!(written_count <= 100, "{written_count}");
     assert!(
         rate_limit
-            .spend("MemberDead", Level::Info, 999_999)
+            .check("MemberDead", Level::Info, 999_999)
             .should_write
     );
-    let next_second = rate_limit.spend("RequestRefused", Level::Info, 1_000_000);
+    let next_second = rate_limit.check("RequestRefused", Level::Info, 1_000_000);
     assert!(next_second.should_write);
     assert_eq!(next_second.suppressed_count, 5000 - written_count);
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -71,8 +71,8 @@
         let mut fleet = Fleet::new(2, 4, seed);
         let addresses: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.address).collect();
         let seeds = SeedAddresses {
-            near: Vec::new(),
-            far: addresses,
+            same_zone: Vec::new(),
+            other_zones: addresses,
         };
         for node in &mut fleet.nodes {
             node.swim.add_seeds(&seeds);
@@ -348,8 +348,8 @@
     };
     fleet.nodes[1].swim = Swim::new(own_record, vec![seed]);
     fleet.nodes[1].swim.add_seeds(&SeedAddresses {
-        near: vec![seed],
-        far: Vec::new(),
+        same_zone: vec![seed],
+        other_zones: Vec::new(),
     });
     fleet.run_until(2_000, Fleet::all_see_each_other);
 }
--- a/tests/membership_support/mod.rs
+++ b/tests/membership_support/mod.rs
@@ -82,8 +82,8 @@
         seeds.iter().partition(|(other, _)| *other == zone);
     let addresses = |seeds: Vec<(u8, SocketAddr)>| seeds.into_iter().map(|(_, seed)| seed);
     SeedAddresses {
-        near: addresses(same_zone).collect(),
-        far: addresses(other_zones).collect(),
+        same_zone: addresses(same_zone).collect(),
+        other_zones: addresses(other_zones).collect(),
     }
 }
 
--- a/tests/not_ready.rs
+++ b/tests/not_ready.rs
@@ -3,7 +3,7 @@
 mod local_mesh;
 
 use {
-    dogwoodbridge::conf::Running,
+    dogwoodbridge::conf::CompiledConfiguration,
     local_mesh::{
         client,
         mesh::{KEY, Mesh},
@@ -20,7 +20,7 @@
     let unconfigured = &mesh.instances[1];
     unconfigured
         .running
-        .send_replace(Arc::new(Running::default()));
+        .send_replace(Arc::new(CompiledConfiguration::default()));
     for _ in 0..20 {
         let headers = [("dogwood-key", KEY)];
         let request = client::request("GET", "/a/echo", &headers, b"");
--- a/tests/objects_support/mod.rs
+++ b/tests/objects_support/mod.rs
@@ -4,19 +4,19 @@
 
 use {
     dogwoodbridge::{
-        conf::{Evacuations, spawn_evacuations},
+        conf::{Evacuations, spawn_evacuations_task},
         documents::{
-            Document, DocumentKind, DocumentStore, FollowerParts, Hint, PeerPolls, Peers,
+            Document, DocumentKind, DocumentStore, FollowerInputs, Hint, PeerPolls, Peers,
             PollBounds,
         },
         freshness::{Freshness, Snapshot},
         membership::{
-            Member, MemberPorts, MemberProbes, MemberQuestion, MemberState, OwnState, PeerStamp,
-            View, relay_rank,
+            Member, MemberPorts, MemberProbes, MemberQuery, MemberState, OwnState, PeerStamp, View,
+            relay_rank,
         },
         objects::{
-            Change, Changes, Condition, FollowParts, FollowedName, FollowedNames, Listing,
-            ObjectOrigin, ObjectStore, StoreError, StoredObject, follow,
+            Change, Changes, FollowedObject, FollowedObjects, Listing, ObjectFollowerInputs,
+            ObjectOrigin, ObjectStore, StoreError, StoredObject, WriteCondition, follow,
         },
         timer::Timer,
     },
@@ -247,7 +247,7 @@
         &self,
         _kind: &str,
         _name: &str,
-        _condition: Condition,
+        _condition: WriteCondition,
         _content: Vec<u8>,
     ) -> Result<u64, StoreError> {
         Err(StoreError::Conflict)
@@ -329,7 +329,7 @@
             let (hints, hint_receiver) = mpsc::channel(64);
             let (probes, queries) = MemberProbes::new();
             let is_partitioned = Arc::new(AtomicBool::new(false));
-            let follower = FollowerParts {
+            let follower = FollowerInputs {
                 node_id: node_id(index),
                 zone: view.members[index].zone.clone(),
                 store: own_documents.clone(),
@@ -340,7 +340,7 @@
                     WATCH_MS,
                 ),
                 bounds,
-                neighbours: StubPeers {
+                peers: StubPeers {
                     documents: documents.clone(),
                     is_partitioned: is_partitioned.clone(),
                 },
@@ -351,9 +351,9 @@
                 timer: timer.clone(),
                 shutdown: shutdown.clone(),
             };
-            let parts = FollowParts {
+            let parts = ObjectFollowerInputs {
                 follower,
-                confirmed_ms: CONFIRMATION_TTL_MS,
+                confirmation_ttl_ms: CONFIRMATION_TTL_MS,
                 own_state: own_state.clone(),
             };
             let freshness = follow(parts, move |document: &Document| {
@@ -370,7 +370,7 @@
                 freshness,
                 own_state,
                 is_partitioned,
-                evacuations: spawn_evacuations(own_documents, shutdown.clone()),
+                evacuations: spawn_evacuations_task(own_documents, shutdown.clone()),
             });
         }
         let gossip = Gossip {
@@ -405,8 +405,8 @@
             members: vec![self.view.members[0].clone()],
         });
         let documents = DocumentStore::new();
-        let evacuations = spawn_evacuations(&documents, self.shutdown.clone());
-        let follower = FollowerParts {
+        let evacuations = spawn_evacuations_task(&documents, self.shutdown.clone());
+        let follower = FollowerInputs {
             node_id: node_id(0),
             zone: view.members[0].zone.clone(),
             store: documents.clone(),
@@ -417,7 +417,7 @@
                 WATCH_MS,
             ),
             bounds: POLL_BOUNDS,
-            neighbours: StubPeers {
+            peers: StubPeers {
                 documents: vec![documents],
                 is_partitioned: Arc::default(),
             },
@@ -428,9 +428,9 @@
             timer: self.timer.clone(),
             shutdown: self.shutdown.clone(),
         };
-        let parts = FollowParts {
+        let parts = ObjectFollowerInputs {
             follower,
-            confirmed_ms: CONFIRMATION_TTL_MS,
+            confirmation_ttl_ms: CONFIRMATION_TTL_MS,
             own_state: own_state.clone(),
         };
         let freshness = follow(parts, move |document: &Document| {
@@ -528,7 +528,7 @@
 struct GossipChannels {
     stamps: broadcast::Sender<PeerStamp>,
     _hints: mpsc::Sender<Hint>,
-    queries: mpsc::Receiver<MemberQuestion>,
+    queries: mpsc::Receiver<MemberQuery>,
     own_state: watch::Sender<OwnState>,
 }
 
@@ -547,7 +547,7 @@
                 let subject = self.rng.random_range(0..self.channels.len());
                 self.reply(receiver, subject);
                 while let Ok(query) = self.channels[receiver].queries.try_recv() {
-                    if let MemberQuestion::Stamp(node_id) = query {
+                    if let MemberQuery::Stamp(node_id) = query {
                         self.reply(receiver, index_of(&node_id));
                     }
                 }
@@ -572,9 +572,9 @@
 }
 
 /// Paths of the followed objects.
-pub fn followed_objects() -> FollowedNames {
-    FollowedNames {
-        configuration: FollowedName {
+pub fn followed_objects() -> FollowedObjects {
+    FollowedObjects {
+        configuration: FollowedObject {
             kind: "rules".to_owned(),
             name: "main".to_owned(),
         },
--- a/tests/peer_faults.rs
+++ b/tests/peer_faults.rs
@@ -17,7 +17,7 @@
     },
     hyper::header::HeaderValue,
     local_mesh::{
-        client::{self, Seen},
+        client::{self, CallerResponse},
         mesh::{KEY, Mesh},
     },
     std::net::SocketAddr,
@@ -30,7 +30,7 @@
 const CALL_COUNT: usize = 30;
 const GENERATED_CASE_COUNT: usize = 2000;
 
-async fn get(mesh: &Mesh, path: &str) -> Seen {
+async fn get(mesh: &Mesh, path: &str) -> CallerResponse {
     let request = client::request("GET", path, &[("dogwood-key", KEY)], b"");
     client::send(mesh[0].caller_address(), request).await
 }
@@ -119,7 +119,7 @@
     ];
     for case in &cases {
         let mesh = Mesh::start(&["a"]).await;
-        mesh.add_stranger("stranger", "x", start_fake_peer(case.kind).await)
+        mesh.add_fake_member("stranger", "x", start_fake_peer(case.kind).await)
             .await;
         let response = get(&mesh, "/x/once/echo").await;
         assert_eq!(
@@ -143,7 +143,7 @@
         FakePeer::RespondsUnauthenticated,
     ] {
         let mesh = Mesh::start(&["a"]).await;
-        mesh.add_stranger("stranger", "a", start_fake_peer(kind).await)
+        mesh.add_fake_member("stranger", "a", start_fake_peer(kind).await)
             .await;
         for _ in 0..CALL_COUNT {
             let response = get(&mesh, "/a/echo").await;
@@ -156,7 +156,7 @@
         }
         // A new mesh, since this one's router already avoids the broken node.
         let mesh = Mesh::start(&["a"]).await;
-        mesh.add_stranger("stranger", "a", start_fake_peer(kind).await)
+        mesh.add_fake_member("stranger", "a", start_fake_peer(kind).await)
             .await;
         let mut whole_count = 0;
         for _ in 0..CALL_COUNT {
@@ -179,7 +179,7 @@
 async fn a_target_gets_no_request_for_another_service() {
     let mesh = Mesh::start(&["a", "b"]).await;
     let peer = SocketAddr::new(mesh[1].node.settings.ip, mesh[1].node.settings.peer_port);
-    mesh.add_stranger("gone", "x", peer).await;
+    mesh.add_fake_member("gone", "x", peer).await;
     for path in ["/x/echo", "/x/once/echo"] {
         let response = get(&mesh, path).await;
         let (status, outcome, reason) = response.summary();
@@ -193,7 +193,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unsent_unrepeatable_request_is_retried_on_another_node() {
     let mesh = Mesh::start(&["a"]).await;
-    mesh.add_stranger(
+    mesh.add_fake_member(
         "stranger",
         "a",
         start_fake_peer(FakePeer::NotListening).await,
--- a/tests/peer_seams.rs
+++ b/tests/peer_seams.rs
@@ -15,7 +15,7 @@
     },
     hyper::header::HeaderValue,
     local_mesh::{
-        client::{self, Seen},
+        client::{self, CallerResponse},
         mesh::{KEY, Mesh, SECRET, digest},
     },
 };
@@ -74,7 +74,13 @@
     HeaderValue::try_from(STANDARD_NO_PAD.encode(bytes)).unwrap()
 }
 
-async fn send(mesh: &Mesh, attempt: &SignedAttempt, key: &str, path: &str, body: &[u8]) -> Seen {
+async fn send(
+    mesh: &Mesh,
+    attempt: &SignedAttempt,
+    key: &str,
+    path: &str,
+    body: &[u8],
+) -> CallerResponse {
     let headers = [
         ("dogwood-context", attempt.context.to_str().unwrap()),
         ("dogwood-auth", attempt.proof.to_str().unwrap()),
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -6,7 +6,7 @@
     dogwoodbridge::{
         backoff::Backoff,
         documents::{DocumentKind, DocumentWriter, WriteResult},
-        platform::{MAX_OBJECT_BYTES, Platform, PlatformError, WatchResult, Write},
+        platform::{MAX_OBJECT_BYTES, Platform, PlatformError, WatchResult, WriteOutcome},
     },
     platform_support::{FakePlatform, Faults},
     std::{collections::HashSet, net::IpAddr, time::Duration},
@@ -22,15 +22,15 @@
     assert_eq!(platform.read(NAME).await.expect("absent").version, 0);
     assert!(matches!(
         platform.write(NAME, 0, b"a".to_vec()).await,
-        Write::Written(1)
+        WriteOutcome::Written(1)
     ));
     assert!(matches!(
         platform.write(NAME, 0, b"b".to_vec()).await,
-        Write::Conflict(1)
+        WriteOutcome::Conflict(1)
     ));
     assert!(matches!(
         platform.write(NAME, 1, b"b".to_vec()).await,
-        Write::Written(2)
+        WriteOutcome::Written(2)
     ));
     let object = platform.read(NAME).await.expect("present");
     assert_eq!((object.version, object.content.as_slice()), (2, &b"b"[..]));
@@ -112,7 +112,7 @@
         WriteCase {
             name: "response lost",
             faults: Faults {
-                lost_after_count: 1,
+                lost_response_count: 1,
                 ..fault()
             },
             byte_count: 1,
@@ -122,7 +122,7 @@
         WriteCase {
             name: "request lost",
             faults: Faults {
-                lost_before_count: 1,
+                lost_write_count: 1,
                 ..fault()
             },
             byte_count: 1,
@@ -199,13 +199,13 @@
     ];
     for case in cases {
         let fake = FakePlatform::new().await;
-        let platform = Platform::new(fake.address).with_call_limit_ms(300);
+        let platform = Platform::new(fake.address).with_call_timeout_ms(300);
         fake.set_faults(case.faults);
         let written = match platform.write(NAME, 0, vec![b'x'; case.byte_count]).await {
-            Write::Written(_) => "written",
-            Write::Conflict(_) => "conflict",
-            Write::Refused(_) => "refused",
-            Write::Unknown(_) => "unknown",
+            WriteOutcome::Written(_) => "written",
+            WriteOutcome::Conflict(_) => "conflict",
+            WriteOutcome::Refused(_) => "refused",
+            WriteOutcome::Unknown(_) => "unknown",
         };
         assert_eq!(written, case.expected, "{}", case.name);
         assert_eq!(fake.get(NAME).0 > 0, case.applied, "{}", case.name);
@@ -223,7 +223,10 @@
     let platform = Platform::new(address);
     let written = platform.write(NAME, 0, Vec::new()).await;
     assert!(
-        matches!(written, Write::Refused(PlatformError::Unreachable(_))),
+        matches!(
+            written,
+            WriteOutcome::Refused(PlatformError::Unreachable(_))
+        ),
         "{written:?}"
     );
     let written = DocumentWriter::write(&platform, DocumentKind::Keys, 0, Vec::new()).await;
@@ -238,7 +241,7 @@
     assert_eq!(write(0).await, WriteResult::Written(1));
     assert_eq!(write(0).await, WriteResult::Conflict(1));
     fake.set_faults(Faults {
-        lost_after_count: 1,
+        lost_response_count: 1,
         ..Faults::default()
     });
     assert_eq!(write(1).await, WriteResult::Unknown);
@@ -250,7 +253,7 @@
 #[tokio::test]
 async fn calls_end_within_their_timeouts() {
     let fake = FakePlatform::new().await;
-    let platform = Platform::new(fake.address).with_call_limit_ms(100);
+    let platform = Platform::new(fake.address).with_call_timeout_ms(100);
     fake.set_faults(Faults {
         delay_ms: 600_000,
         ..Faults::default()
--- a/tests/platform_support/ctl.rs
+++ b/tests/platform_support/ctl.rs
@@ -6,7 +6,7 @@
         node::{FakeNode, SECRET},
     },
     dogwoodbridge::{
-        conf::{ConfigurationRecord, Publication, Running, check_dir},
+        conf::{CompiledConfiguration, ConfigurationRecord, Publication, check_dir},
         control::{KeyVerdict, Operated},
         documents::{Document, DocumentKind},
         keys::{KeyDigest, KeysRecord},
@@ -129,8 +129,9 @@
             }
             let version = node.store.versions().of(DocumentKind::Configuration);
             let mut running = node.running.clone();
-            let is_ready =
-                |running: &Arc<Running>| running.revision >= version && !running.granted.is_empty();
+            let is_ready = |running: &Arc<CompiledConfiguration>| {
+                running.revision >= version && !running.granted.is_empty()
+            };
             running.wait_for(is_ready).await.expect("the task runs");
         }
     }
--- a/tests/platform_support/mod.rs
+++ b/tests/platform_support/mod.rs
@@ -35,17 +35,17 @@
     /// Plain reads and watches return the version before the newest one.
     pub stale: bool,
     /// Number of writes that take effect but lose their response. Version polls don't count.
-    pub lost_after_count: usize,
+    pub lost_response_count: usize,
     /// Every write takes effect and loses its response, and so does every version poll.
-    pub all_answers_lost: bool,
+    pub all_responses_lost: bool,
     /// Number of writes that are lost before they take effect. Version polls don't
     /// count.
-    pub lost_before_count: usize,
+    pub lost_write_count: usize,
     /// Responses have no version.
     pub no_version: bool,
     /// Content that another operator writes just after a write that loses its response,
     /// or just before one that does not.
-    pub racer: Option<Vec<u8>>,
+    pub concurrent_write: Option<Vec<u8>>,
 }
 
 #[derive(Debug, Default)]
@@ -213,27 +213,27 @@
             .to_vec();
         let is_version_poll = if_version == i64::MAX as u64;
         let mut faults = self.state().faults.clone();
-        if !is_version_poll && faults.lost_before_count > 0 {
-            self.state().faults.lost_before_count -= 1;
+        if !is_version_poll && faults.lost_write_count > 0 {
+            self.state().faults.lost_write_count -= 1;
             return None;
         }
-        let is_response_lost = !is_version_poll && faults.lost_after_count > 0;
+        let is_response_lost = !is_version_poll && faults.lost_response_count > 0;
         if !is_version_poll && !is_response_lost {
             self.write_concurrently(name, &mut faults);
         }
         let current = self.get(name).0;
-        if current != if_version && faults.all_answers_lost {
+        if current != if_version && faults.all_responses_lost {
             return None;
         }
         if current != if_version {
             return Some(response(409, self.version_header(current), Vec::new()));
         }
         let version = self.put(name, &content);
-        if faults.all_answers_lost {
+        if faults.all_responses_lost {
             return None;
         }
         if is_response_lost {
-            self.state().faults.lost_after_count -= 1;
+            self.state().faults.lost_response_count -= 1;
             self.write_concurrently(name, &mut faults);
             return None;
         }
@@ -241,8 +241,8 @@
     }
 
     fn write_concurrently(&self, name: &str, faults: &mut Faults) {
-        if let Some(content) = faults.racer.take() {
-            self.state().faults.racer = None;
+        if let Some(content) = faults.concurrent_write.take() {
+            self.state().faults.concurrent_write = None;
             self.put(name, &content);
         }
     }
--- a/tests/platform_support/node.rs
+++ b/tests/platform_support/node.rs
@@ -2,7 +2,7 @@
 
 use {
     dogwoodbridge::{
-        conf::{Running, spawn_in_force},
+        conf::{CompiledConfiguration, spawn_configuration_task},
         control::{
             ExplainRequest, Explanation, FreshnessRecord, KeyVerdict, MemberStateRecord,
             MemberStatus, NodeFacts, NodeStatus, Operated, TargetStatus, VersionsRecord, resolve,
@@ -32,7 +32,7 @@
     pub zone: String,
     pub store: DocumentStore,
     pub revocations: Revocations,
-    pub running: watch::Receiver<Arc<Running>>,
+    pub running: watch::Receiver<Arc<CompiledConfiguration>>,
     pub names: Names,
     pub members: Arc<Mutex<Vec<MemberStatus>>>,
     pub drained: Arc<AtomicBool>,
@@ -45,7 +45,8 @@
     pub async fn spawn(node_id: &str, zone: &str) -> (Self, SocketAddr) {
         let shutdown = CancellationToken::new();
         let (store, revocations, names) = (DocumentStore::new(), Revocations::new(), Names::new());
-        let running = spawn_in_force(&store, &revocations, names.clone(), shutdown.clone());
+        let running =
+            spawn_configuration_task(&store, &revocations, names.clone(), shutdown.clone());
         let node = Self {
             node_id: node_id.to_owned(),
             zone: zone.to_owned(),
--- a/tests/quota_fleet.rs
+++ b/tests/quota_fleet.rs
@@ -265,9 +265,9 @@
     tokio::time::sleep(Duration::from_millis(2200 + 1600)).await;
     let node = &fleet.nodes[1];
     assert_eq!(admit_at_once(node, 300).await, 300);
-    let counts = CallKind::ALL.map(|kind| (kind.name(), node.client.counters().of(kind)));
+    let counts = CallKind::ALL.map(|kind| (kind.name(), node.client.counters().for_kind(kind)));
     println!("calls of the node with the burst: {counts:?}");
-    assert!(node.client.counters().of(CallKind::Borrow).call_count > 0);
+    assert!(node.client.counters().for_kind(CallKind::Borrow).call_count > 0);
     let excess_count = admit_at_once(node, 300).await;
     assert!(
         excess_count < 200,
--- a/tests/quota_rpc.rs
+++ b/tests/quota_rpc.rs
@@ -207,7 +207,7 @@
         client_node
             .client
             .counters()
-            .of(CallKind::Borrow)
+            .for_kind(CallKind::Borrow)
             .call_count,
         1
     );
@@ -215,7 +215,7 @@
         client_node
             .client
             .counters()
-            .of(CallKind::Borrow)
+            .for_kind(CallKind::Borrow)
             .byte_count
             > 50
     );
--- a/tests/regions.rs
+++ b/tests/regions.rs
@@ -4,7 +4,10 @@
 
 use {
     dogwoodbridge::{
-        conf::{HostedConfiguration, HostedRoute, HostedWorkspace, Running, compile_hosted},
+        conf::{
+            CompiledConfiguration, HostedConfiguration, HostedRoute, HostedWorkspace,
+            compile_hosted,
+        },
         model::{Class, Names, RegionSet},
     },
     local_mesh::{
@@ -23,8 +26,8 @@
         repeatable: true,
         attempt_limit: 2,
         timeout_ms: 1000,
-        aim_ms: 500,
-        is_open: false,
+        latency_objective_ms: 500,
+        is_public: false,
         regions: names_of(regions),
     }
 }
@@ -97,7 +100,7 @@
     ];
     for case in cases {
         let workspace = names.workspace(case.workspace);
-        let regions = running.regions_of(workspace, Some("H:80"), case.path);
+        let regions = running.allowed_regions(workspace, Some("H:80"), case.path);
         let allowed = REGIONS.iter().copied();
         let allowed: Vec<&str> = allowed
             .filter(|region| regions.allows(names.region(region)))
@@ -112,7 +115,7 @@
 async fn the_targets_node_refuses_requests_not_allowed_in_its_region() {
     let mesh = Mesh::start(&["b", "a"]).await;
     let target_instance = &mesh.instances[1];
-    let mut running = Running::clone(&target_instance.node.running());
+    let mut running = CompiledConfiguration::clone(&target_instance.node.running());
     let other_region = RegionSet::only([target_instance.node.names.region("other")]);
     for rules in running.workspaces.values_mut() {
         rules.regions = other_region;
