--- a/src/dialect/caller_request.rs
+++ b/src/dialect/caller_request.rs
@@ -22,7 +22,7 @@
     pub host: Option<String>,
     /// Path and query for the target.
     pub path: PathAndQuery,
-    /// Priority class.
+    /// Class of the request.
     pub class: Class,
     /// Whether the request may be executed again after an unknown outcome.
     pub repeatable: bool,
--- a/src/egress/attempts.rs
+++ b/src/egress/attempts.rs
@@ -42,7 +42,7 @@
     pub key: KeyDigest,
     /// Service that is called.
     pub service: ServiceKey,
-    /// Priority class.
+    /// Class of the request.
     pub class: Class,
     /// Time at which the sender of the call stops waiting, in microseconds.
     pub deadline_us: u64,
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -217,11 +217,11 @@
         events: &mut Vec<SwimEvent>,
     ) {
         match self.codec.decode(datagram) {
-            Ok(Datagram::LivenessProbe(LivenessProbe::Request(number))) => {
-                self.send_liveness_probe(LivenessProbe::Response(number), sender_address)
+            Ok(Datagram::LivenessProbe(LivenessProbe::Question(number))) => {
+                self.send_liveness_probe(LivenessProbe::Answer(number), sender_address)
                     .await;
             }
-            Ok(Datagram::LivenessProbe(LivenessProbe::Response(number))) => {
+            Ok(Datagram::LivenessProbe(LivenessProbe::Answer(number))) => {
                 if let Some(node_id) = self.liveness_probes.record_response(number) {
                     self.gossip.probes.record_response(node_id);
                 }
--- a/src/membership/liveness_probe.rs
+++ b/src/membership/liveness_probe.rs
@@ -19,9 +19,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LivenessProbe {
     /// Requests a response with the same number.
-    Request(u64),
+    Question(u64),
     /// Responds to the probe with this number.
-    Response(u64),
+    Answer(u64),
 }
 
 /// Probes that wait for their responses.
@@ -50,7 +50,7 @@
         let number = self.next_number;
         self.next_number = self.next_number.wrapping_add(1);
         self.pending.insert(number, (node_id, now_ms));
-        LivenessProbe::Request(number)
+        LivenessProbe::Question(number)
     }
 
     /// Returns the member that responded to the probe with this number, at most
